--- a/ceiling.go
+++ b/ceiling.go
@@ -38,8 +38,8 @@
 // inPart tells whether a further attempt may be out for the customer. Where there are fewer attempts than doors, to give
 // them to some of the doors would leave the rest with none, and to them most of the customer's requests may come. A door
 // whose part is less than one attempt is granted that part of each second: it has one out for that share of the time at
-// most, on average over spareOpen or more, so that all doors together have no more out than the limit on average, however
-// much is asked of all of them. What it had out before a restart is not known, so a door begins with nothing saved up.
+// most, on average over spareOpen or more, so that all doors together have no more out than the limit on average, whatever
+// is asked of all of them. What it had out before a restart is not known, so a door begins with nothing saved up.
 func (g *Gateway) inPart(c *customer) bool {
 	if c.plan.Open <= 0 {
 		return true
--- a/gateway.go
+++ b/gateway.go
@@ -296,7 +296,7 @@
 		sick += b2i(b.badAt > 0 && g.now-b.badAt < seconds(0.5/weight))
 		ready += b2i(b.State == Ready)
 	}
-	g.flow += weight * (g.aims - g.flow)
+	g.flow += max(weight, min(0.5, 1/max(1, g.ticks))) * (g.aims - g.flow) // no slower than its first counts
 	g.aims = 0
 	floor := max(float64(max(1, ready))/float64(g.set.FrontDoors), g.flow/2)
 	spread := float64(sick) > min(g.bads/2, float64(ready)/3)
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -288,6 +288,21 @@
 	}
 }
 
+// One of many doors hears a few answers a second. What they can carry in time is counted in full within the first
+// seconds, not begun from nothing, which would refuse a tenth of the requests after each start.
+func TestNFollowsTheFirstSecondsOfFewAnswers(t *testing.T) {
+	r := newRig(t, testSettings(), fleet(30)...)
+	g := r.g
+	const aims = 3.0
+	for second, least := range []float64{0.5, 0.75, 0.83, 0.87} {
+		g.sends, g.aims, g.ended = 5, aims, 5
+		g.onTimer(0)
+		if g.flow < least*aims-0.01 || g.flow > aims {
+			t.Errorf("after %d s a flow of %v is taken to be %v, want %v of it at least", second+1, aims, g.flow, least)
+		}
+	}
+}
+
 // Marked attempts count as the slots they were squeezed from: in a jam N used to grow by its own cuts.
 func TestSubratedAttemptsDoNotLiftN(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(3)...)
--- a/health.go
+++ b/health.go
@@ -17,7 +17,7 @@
 	spareShare = 1.0 / 16 // of the sends may be called off
 	mostSpare  = 8.0      // ... and so many at once
 	mostStrike = 8.0      // mean answers, over those that are free, that a backend owes at most after a strike
-	coldMost   = 0.5      // of the fall multiple: more than so much of a cold backend's warmth is not sent to it
+	coldMost   = 0.45     // of the fall multiple: more than so much of a cold backend's warmth is not sent to it
 	coldTurn   = 1.0 / 4  // of its cost is a cold backend's whose turn it is: it goes first unless four times as dear
 	owedFades  = 1.0      // seconds in which what an idle backend owes fades to 1/e
 	slowFades  = 2.0      // ... and its slowness over the mean
