--- a/api.go
+++ b/api.go
@@ -5,7 +5,8 @@
 // Handle; it carries out the returned actions at once and in order. The package has no clock, does no I/O,
 // holds no locks and keeps no package state: two gateways given the same seed and events act alike. A
 // Gateway is not safe for concurrent use. All times are durations on one clock that only moves forward and
-// whose origin does not matter. The decisions are in gateway.go, ceiling.go, health.go and advice.go.
+// whose origin does not matter. The decisions are in gateway.go, ceiling.go, health.go, staleness.go
+// and advice.go.
 package cypresstrack
 
 import (
@@ -87,6 +88,7 @@
 	CanProbe      bool
 	MaxRetryAfter time.Duration // the longest advice that clients follow; 0: they get none
 	AskForList    bool          // the list of backends must be subscribed to
+	ListLease     time.Duration // for how long a list that discovery has confirmed may be gone by; 0: for ever
 	LoadColumns   []string      // what a load report holds, in order
 	LoadInAnswers bool          // reports come in answers as well as in probe results
 	AnswerGrace   time.Duration // how long past a client's patience a final answer still counts
@@ -170,7 +172,8 @@
 	ListFailed                  // asking failed; the earlier list stays
 )
 
-// BackendList is news about the backends.
+// BackendList is news about the backends. One of changes that names none confirms the list that is held: nothing had
+// changed at that moment.
 type BackendList struct {
 	Kind     ListKind
 	Backends []BackendInfo
--- a/gateway.go
+++ b/gateway.go
@@ -1,8 +1,7 @@
 package cypresstrack
 
-// The decisions of a gateway. The interface (settings, events, actions) is in api.go. Reading order:
-// constants, state, dispatch, admission, re-split, N, quota store, ceiling, server choice and health,
-// attempts, timers. The comments tell where something is an exception from the published mechanism.
+// The decisions of a gateway, on the interface of api.go, in this order: constants, state, dispatch,
+// admission, re-split, N, quota store, choice, attempts, timers. Comments mark departures from the paper.
 
 import (
 	"cmp"
@@ -63,6 +62,7 @@
 	owed      float64       // answers owed since the last one, in mean answers
 	owedAt    time.Duration // when owed was brought up to now
 	holdUntil time.Duration // no sends before: refused or unreachable
+	vouched   time.Duration // its last answer vouches for it until then
 	coldSince time.Duration // when it started, as far as known
 	cold      bool
 	tokens    float64 // sends allowed while cold, as of tokensAt
@@ -133,6 +133,7 @@
 	plans     map[string]*Plan
 	rng       *rand.Rand
 	now, boot time.Duration
+	listUntil time.Duration // ListLease from the last confirmation on; 0: none has come
 	started   bool
 	acts      []Action
 	backends  map[BackendID]*backend
@@ -150,11 +151,10 @@
 	size             [3]float64 // n_h, n_l, pool
 	used             [3]int
 	busy             [3]float64 // used, on average over a small part's window, as of busyAt
-	busyAt           time.Duration
 	marked           int
 	unmarked         []*slot // low ones in the pool not yet marked, oldest first
 	tiers            [2]tier // low, high
-	splitAt          time.Duration
+	splitAt, busyAt  time.Duration
 	meanLat, bestLat float64 // running mean latency of answers, 1/mu; its slowly forgotten low
 	out              int
 	ended, bads      float64 // attempts ended, and badly, fading
@@ -614,6 +614,7 @@
 		}
 		return
 	}
+	g.confirm(ev.Kind)
 	if ev.Kind != ListChanges {
 		for _, b := range g.order {
 			b.State = Gone
@@ -653,7 +654,7 @@
 	var best *backend
 	least, seen, most := math.Inf(1), 0.0, g.known()
 	for _, b := range g.order {
-		if seen >= most || b.State != Ready || g.now < b.holdUntil || !g.mayGo(r, b) {
+		if seen >= most || b.State != Ready || g.now < b.holdUntil || !g.fresh(b) || !g.mayGo(r, b) {
 			continue
 		}
 		owed := g.owes(b)
@@ -752,6 +753,7 @@
 func (g *Gateway) learn(r *request, t *attempt, ev Outcome) {
 	b, took := t.b, ev.Took.Seconds()
 	g.owes(b)
+	g.vouch(t)
 	late := ev.Result == TimedOut || ev.Result == Answered && took > r.class.late()
 	if ev.Result != Cancelled && ev.Result != NotSent && !t.told {
 		g.ended++
--- a/internal/frontdoor/clients.go
+++ b/internal/frontdoor/clients.go
@@ -44,6 +44,10 @@
 	drainMost  = 700 * time.Millisecond
 	killCounts = 3 * time.Second
 	drainLook  = 10 * time.Millisecond // between two looks at what is still open
+
+	// Where the list has to be asked for, a new process may send to nobody before it has one, and is not ready for clients.
+	// It is all the same after this time: a restarted one has to be within 6 s.
+	listWait = 5 * time.Second
 )
 
 // Clients is the side of the front door that clients see.
@@ -52,6 +56,7 @@
 	settings ct.Settings
 	classes  map[string]ct.Class
 	plans    map[string]bool
+	started  time.Time
 	longest  time.Duration // of all deadlines
 	conns    *connTable
 	killed   atomic.Pointer[time.Time] // when the platform may kill this process; nil before SIGTERM
@@ -63,7 +68,7 @@
 // NewClients serves clients from a loop.
 func NewClients(config Config, loop *Loop) *Clients {
 	settings := config.Settings
-	c := &Clients{loop: loop, settings: settings, conns: newConnTable(config.Limits.clientConns()),
+	c := &Clients{loop: loop, settings: settings, started: time.Now(), conns: newConnTable(config.Limits.clientConns()),
 		classes: map[string]ct.Class{}, plans: map[string]bool{},
 		badLog: rate.Sometimes{First: 10, Interval: time.Second}, lateLog: rate.Sometimes{First: 10, Interval: time.Second}}
 	for _, class := range settings.Classes {
@@ -139,12 +144,20 @@
 	}
 }
 
+// ready tells whether clients may come.
+func (c *Clients) ready() bool {
+	if c.killed.Load() != nil {
+		return false
+	}
+	return !c.settings.AskForList || c.loop.listed.Load() || time.Since(c.started) >= listWait
+}
+
 // ServeHTTP takes one request and gives it its one final answer.
 func (c *Clients) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	if r.URL.Path == "/ready" {
 		c.lastAnswer(w)
-		if c.killed.Load() != nil {
+		if !c.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return
--- /dev/null
+++ b/internal/frontdoor/lease_test.go
@@ -0,0 +1,77 @@
+package frontdoor
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+
+	ct "cypresstrack"
+)
+
+// Where the list has to be asked for, a new process is not ready, and sends nothing by the list of its configuration,
+// until discovery has told one; after listWait it is ready all the same. Where lists are pushed, it is ready at once.
+func TestReadyWithTheFirstList(t *testing.T) {
+	c := config(t)
+	if !NewClients(c, mustLoop(t, c)).ready() {
+		t.Error("not ready where lists are pushed")
+	}
+	c.Settings.AskForList = true
+	c.Known = ready("127.0.0.1:7")
+	loop := mustLoop(t, c)
+	clients := NewClients(c, loop)
+	if clients.ready() {
+		t.Error("ready without a list")
+	}
+	patience := time.Second
+	ask := func(id ct.RequestID) answer {
+		msg := &message{method: http.MethodGet, target: "/look", host: "origin.svc", header: http.Header{}}
+		a, err := loop.Serve(t.Context(), ct.Request{ID: id, Customer: 1, Class: "look", Plan: "basic", Units: 1,
+			Patience: patience, Spread: 2}, msg)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return a
+	}
+	if a := ask(1); a.kind != refused || a.retryAfter <= 0 {
+		t.Errorf("by the list of its configuration: %+v", a)
+	}
+	clients.started = clients.started.Add(-listWait)
+	if !clients.ready() {
+		t.Errorf("not ready after %v", listWait)
+	}
+	clients.started = time.Now()
+	addr := serve(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
+	loop.Update(ready(addr))
+	if !clients.ready() {
+		t.Error("not ready with a list")
+	}
+	if a := ask(2); a.kind != served {
+		t.Errorf("by a list that discovery told: %+v", a)
+	}
+}
+
+func mustLoop(t *testing.T, c Config) *Loop {
+	t.Helper()
+	loop, err := NewLoop(c, NewBackends(c))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return loop
+}
+
+// The lease of a list ends, with the time that a connection may take to come up, before what discovery may have had
+// since counts as told.
+func TestListLeaseEndsInTime(t *testing.T) {
+	c := config(t)
+	if lease := listLease(c); lease != 0 {
+		t.Errorf("a lease of %v where lists are pushed", lease)
+	}
+	c.Settings.AskForList = true
+	for _, connect := range []time.Duration{50 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second} {
+		c.Conns.Connect = connect
+		if lease := listLease(c); lease+connect >= toldAfter || lease < toldAfter/2 {
+			t.Errorf("a lease of %v with connections that take up to %v", lease, connect)
+		}
+	}
+}
--- a/internal/frontdoor/loop.go
+++ b/internal/frontdoor/loop.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"log/slog"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	ct "cypresstrack"
@@ -81,6 +82,7 @@
 type Loop struct {
 	clock    clock
 	backends *Backends
+	listed   atomic.Bool // discovery has told a list since this process started
 
 	mu      sync.Mutex
 	gateway decider
@@ -89,10 +91,25 @@
 	actions []ct.Action // kept for its memory
 }
 
+// leaseMargin is what may go by between discovery's writing of a word and the moment in which it is taken in here.
+const leaseMargin = 250 * time.Millisecond
+
+// listLease is for how long a list that a service has confirmed may be gone by: an attempt that is decided upon at its
+// end must have begun, on a new connection, before what the service may have had since counts as told. Lists that are
+// pushed need none: what the agent has counts as told whatever is known here.
+func listLease(c Config) time.Duration {
+	if !c.Settings.AskForList {
+		return 0
+	}
+	return max(toldAfter/2, toldAfter-leaseMargin-c.Conns.Connect)
+}
+
 // NewLoop starts a gateway that knows the backends of the configuration.
 func NewLoop(c Config, backends *Backends) (*Loop, error) {
 	k := clock{time.Now()}
-	gateway, err := ct.New(c.Settings, c.Seed, k.now())
+	settings := c.Settings
+	settings.ListLease = listLease(c)
+	gateway, err := ct.New(settings, c.Seed, k.now())
 	if err != nil {
 		return nil, err
 	}
@@ -112,6 +129,7 @@
 		kind = ct.ListFull
 	}
 	l.update(list, kind)
+	l.listed.Store(true)
 }
 
 func (l *Loop) update(list EndpointList, kind ct.ListKind) {
