--- a/internal/frontdoor/discovery.go
+++ b/internal/frontdoor/discovery.go
@@ -90,17 +90,16 @@
 // Failures are followed by a pause with full jitter. Who needs a list most asks most often. A process without one can
 // serve nobody, and goes on asking after retryLeast while the service has too much to do. One whose list is good for a
 // while yet leaves the service to those once it was refused, and takes all of that while. One that has come too late as
-// well sends only to backends that are vouched for in another way, and waits longer. A refusal that came late may have
-// cost the service as much as an answer: pauses get longer then, as a service that goes on working for those that have
-// given up would never catch up again.
+// well sends only to backends that are vouched for in another way, and waits longer. While the service is down, it was seen
+// to hold each ask for askWait before it refused it, which spreads them enough; nobody should be long in coming back then,
+// so no pause is longer than leaves time for the wait in turn within toldAfter.
 const (
-	retryLeast    = 200 * time.Millisecond // the longest pause after a first break; further ones double it
-	retryNew      = 400 * time.Millisecond // ... up to this for a process that has had no list
-	retryMost     = 2 * time.Second        // ... or to this: with the wait in turn, well within toldAfter
-	retryBusy     = 3 * time.Second        // the longest pause after a refusal for a process whose list is too old by then
-	lateRefusal   = 500 * time.Millisecond // a refusal that took longer was not made on arrival
-	lateDoublings = 4                      // the pause after late refusals is up to the wait, doubled so many times at most
-	failedFactor  = 4                      // times as long one may go without asking after a failed ask, by the pages
+	retryLeast   = 200 * time.Millisecond // the longest pause after a first failure; further ones double it
+	retryNew     = 400 * time.Millisecond // ... up to this for a process that has had no list
+	retryMost    = 2 * time.Second        // ... or to this: with the wait in turn, well within toldAfter
+	retryBusy    = 3 * time.Second        // the longest pause after a refusal for a process whose list is too old by then
+	lateRefusal  = 500 * time.Millisecond // a refusal that took longer is not that of a service with too much to do
+	failedFactor = 4                      // times as long one may go without asking after a failed ask, by the pages
 
 	agentAsk   = 1.0 / 2 // of DrainGrace is how long an agent may take to answer
 	agentPause = 1.0 / 4 // ... and this at most is waited after an ask in vain
@@ -150,13 +149,11 @@
 // backOff is the longest pause after a failure at a service.
 func backOff(f failure) time.Duration {
 	var refusal *refusedError
-	refused := errors.As(f.err, &refusal)
+	busy := errors.As(f.err, &refusal) && refusal.after < lateRefusal
 	switch {
-	case refused && refusal.after >= lateRefusal:
-		return refusal.after << min(f.inRow, lateDoublings)
-	case refused && f.listed && f.slack <= 0:
+	case busy && f.listed && f.slack <= 0:
 		return retryBusy
-	case refused:
+	case busy:
 		return max(retryLeast, f.slack)
 	}
 	most := retryNew
