--- a/excess.go
+++ b/excess.go
@@ -37,10 +37,11 @@
 	usage.units += unitsFade * (units - usage.units)
 	usage.squares += unitsFade * (units*units - usage.squares)
 	beyond, worth := g.excess(c, &use, units), cl.Worth*plan.Price*units
-	offer := budget.Offer{At: g.now, Value: worth * (1 - beyond + beyond*plan.OverWorth), Cost: worth * beyond * plan.OverCost,
+	offer := budget.Offer{At: g.now, Value: worth * (1 - beyond + beyond*plan.OverWorth),
+		Cost: worth * beyond * plan.OverCost,
 		Base: worth * usage.use.ShareWithin(usageGrid, eventually(usage.admitted, returns))}
 	if unknown {
-		offer.Least = leastPlan * (1 - returns) / (1 - leastPlan*returns) // of the clients, however often they come again
+		offer.Least = leastPlan * (1 - returns) / (1 - leastPlan*returns) // of the clients, who may come again
 	}
 	g.price.requests++
 	g.price.offers.Add(offer)
@@ -76,7 +77,7 @@
 // too little is admitted has a lower one.
 func (g *Gateway) adjustPrice() {
 	e := &g.price
-	first := 1 - min(mostReturn, e.returned/max(1, e.requests)/sameGateway) // share of the requests that are clients' first
+	first := 1 - min(mostReturn, e.returned/max(1, e.requests)/sameGateway) // of the requests: clients' first
 	e.shadow = math.Sqrt(e.shadow * e.offers.Price(g.now-offersFor, first*excessBudget, leastPrice, mostPrice))
 	for _, cl := range g.byClass {
 		if cl.asked > 0 {
--- a/gateway.go
+++ b/gateway.go
@@ -1,8 +1,7 @@
 package cypresstrack
 
-// The decisions of a gateway. The interface (settings, events, actions) is in api.go. Reading order:
-// constants, state, dispatch, admission, re-split, N, quota store, ceiling, server choice and health,
-// attempts, timers. The comments tell where something is an exception from the published mechanism.
+// The decisions of a gateway, on the interface of api.go, in this order: constants, state, dispatch,
+// admission, re-split, N, quota store, choice, attempts, timers. Comments mark departures from the paper.
 
 import (
 	"cmp"
@@ -457,6 +456,7 @@
 		}
 		return
 	}
+	g.confirm(ev.Kind)
 	if ev.Kind != ListChanges {
 		for _, b := range g.order {
 			b.State = Gone
@@ -496,7 +496,7 @@
 	var best *backend
 	least, seen, most := math.Inf(1), 0.0, g.known()
 	for _, b := range g.order {
-		if seen >= most || b.State != Ready || g.now < b.holdUntil || !g.mayGo(r, b) {
+		if seen >= most || b.State != Ready || g.now < b.holdUntil || !g.fresh(b) || !g.mayGo(r, b) {
 			continue
 		}
 		owed := g.owes(b)
@@ -596,6 +596,7 @@
 func (g *Gateway) learn(r *request, t *attempt, ev Outcome) {
 	b, took := t.b, ev.Took.Seconds()
 	g.owes(b)
+	g.vouch(t)
 	late := ev.Result == TimedOut || ev.Result == Answered && took > r.class.late()
 	if ev.Result != Cancelled && ev.Result != NotSent && !t.told {
 		g.ended++
--- a/state.go
+++ b/state.go
@@ -33,6 +33,7 @@
 	owed      float64       // answers owed since the last one, in mean answers
 	owedAt    time.Duration // when owed was brought up to now
 	holdUntil time.Duration // no sends before: refused or unreachable
+	vouched   time.Duration // its last answer vouches for it until then
 	coldSince time.Duration // when it started, as far as known
 	cold      bool
 	tokens    float64 // sends allowed while cold, as of tokensAt
@@ -108,7 +109,8 @@
 	started    bool
 	acts       []Action
 	backends   map[BackendID]*backend
-	order      []*backend // by rank
+	order      []*backend    // by rank
+	listUntil  time.Duration // end of the lease of the list of backends
 	requests   map[RequestID]*request
 	bySeq      map[uint64]*request
 	seq        uint64
--- a/usage.go
+++ b/usage.go
@@ -21,13 +21,13 @@
 	arrivalsFor   = 20 * second // time for which the arrivals of a customer without readings are evidence
 	mostArrivals  = 16          // latest arrivals of a customer that are kept
 	changeEvery   = 20 * second // mean time between changes of a customer's use
-	longestFollow = 10.0        // seconds of readings after which a bucket's level is known, however long it takes to fill
+	longestFollow = 10.0        // seconds of readings after which a bucket's level is known, however slowly it fills
 	drainsIn      = 10.0        // times that a bucket refills in within which it matters that it was full at the start
 	mostRead      = 64          // attempts out at once that a reading is taken to tell of at most
 	leastLikely   = 1e-6        // likelihood of a reading at any use: customers are not as regular as the formulas
 	leastWeight   = 0.002       // uses less likely are passed over
-	queueScale    = 1.5         // places for each request that a bucket holds, less queueLess, of a queue that is full as often as
-	queueLess     = 0.5         // the bucket has too little: seen to hold to a few hundredths from a tenth of the quota to all of it
+	queueScale    = 1.5         // places for each request in a bucket, less queueLess, of a queue that is full as
+	queueLess     = 0.5         // often as the bucket has too little, within 0.04 at any use from 0.3 on
 )
 
 // usageGrid holds the uses, in multiples of the quota, that the distributions are kept over; priorUsage is what is
@@ -49,8 +49,8 @@
 	return u
 }
 
-// outAtQuota returns how many attempts a customer has out, on average, that uses its whole quota: by the latency, and no
-// more than half of the limit, as a limit nearer to it would keep customers from using their quotas.
+// outAtQuota returns how many attempts a customer has out, on average, that uses its whole quota: by the latency, and
+// no more than half of the limit, as a limit nearer to it would keep customers from using their quotas.
 func (g *Gateway) outAtQuota(c *customer) float64 {
 	half := float64(c.plan.Open) / 2
 	if c.plan.Rate <= 0 { // what such a plan's use is counted in
@@ -175,7 +175,8 @@
 	var likelihood stats.Weights
 	for i, rate := range usageGrid.Rate {
 		out := rate * g.outAtQuota(c)
-		likelihood[i] = max(leastLikely, stats.MostPresent(most, out, services)-stats.MostPresent(most-1, out, services))
+		exactly := stats.MostPresent(most, out, services) - stats.MostPresent(most-1, out, services)
+		likelihood[i] = max(leastLikely, exactly)
 	}
 	return likelihood
 }
