--- a/gateway.go
+++ b/gateway.go
@@ -335,7 +335,8 @@
 		offset := ((g.set.Me-ev.FirstDoor)%g.set.FrontDoors + g.set.FrontDoors) % g.set.FrontDoors
 		c = &customer{plan: plan, doors: float64(doors), pass: 1, storeAt: g.now,
 			period: g.set.MeterPeriod.Seconds()}
-		c.limits = g.newLimits(plan, shares.Set{Gateways: doors, Offset: offset, Customer: uint64(ev.Customer)})
+		set := shares.Set{Gateways: doors, Offset: offset, Customer: uint64(ev.Customer)}
+		c.limits = g.newLimits(plan, set)
 		c.store = c.capacity()
 		g.customers[ev.Customer] = c
 	}
