--- /dev/null
+++ b/cmd/scalelab/main_test.go
@@ -0,0 +1,43 @@
+package main
+
+import (
+	"bytes"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+func testArguments() arguments {
+	return arguments{Experiments: []string{"quota"}, Seed: 1, Repeats: 1, Gateways: 1000, SumsBackends: 10, ChurnGateways: 3,
+		Watches: 1, SocketTime: time.Second, Limit: time.Nanosecond}
+}
+
+// A run that its limit ends fails, and its table and JSON say that they are not whole.
+func TestLimitIsSaid(t *testing.T) {
+	args := testArguments()
+	args.JSON = filepath.Join(t.TempDir(), "report.json")
+	var table bytes.Buffer
+	err := run(t.Context(), args, &table, io.Discard)
+	if err == nil || !strings.Contains(err.Error(), "cut short") || !strings.Contains(table.String(), "CUT SHORT") {
+		t.Errorf("error %v, table %.60q", err, table.String())
+	}
+	if text, err := os.ReadFile(args.JSON); err != nil || !strings.Contains(string(text), `"cut_short": "quota`) {
+		t.Errorf("JSON %.200q, %v", text, err)
+	}
+}
+
+func TestArgumentsThatCannotBePlayed(t *testing.T) {
+	args := testArguments()
+	args.Limit = 0
+	if err := run(t.Context(), args, io.Discard, io.Discard); err == nil {
+		t.Error("a run without time is played")
+	}
+	args = testArguments()
+	args.Experiments = []string{"nonsense"}
+	if err := run(t.Context(), args, io.Discard, io.Discard); err == nil || !strings.Contains(err.Error(), "nonsense") {
+		t.Errorf("error %v", err)
+	}
+}
