--- a/internal/scalelab/capacity.go
+++ b/internal/scalelab/capacity.go
@@ -61,7 +61,8 @@
 
 // growthRows compare the cost at the target's backends with that at 1,000.
 func (r *Report) growthRows() (rows []CapacityRow) {
-	for _, figure := range []string{"request and outcome", "list change"} {
+	for _, figure := range []string{"request and outcome", "request while 1 in 100 backends is cold", "list change",
+		"program: list change"} {
 		if slope := r.slope("backends", figure, "us"); slope != nil {
 			rows = append(rows, CapacityRow{What: figure + ": cost at 51,000 backends over that at 1,000",
 				Figure: slope.at(TargetBackends) / slope.at(1000), Budget: growthBar, Unit: "times", Basis: "measured"})
@@ -88,7 +89,7 @@
 			r.added("gateways", figure, unit, slopeBase.Gateways, TargetGateways)
 	}
 	tick, request := sum("tick", "us")/1e6, sum("request and outcome", "us")
-	changes := r.slope("backends", "list change", "us").at(TargetBackends) / 1e6 *
+	changes := r.slope("backends", "program: list change", "us").at(TargetBackends) / 1e6 *
 		(TargetRestarts + TargetFailures) * entriesARestart / secondsInDay
 	const megabyte = 1 << 20
 	settings := r.slope("classes", "settings", "bytes").at(TargetRoutes)
@@ -98,6 +99,12 @@
 			Budget: BudgetControlMemory / megabyte, Unit: "MB", Basis: "sum of measured slopes"},
 		CapacityRow{What: "gateway: processor time of tick and list changes", Figure: (tick + changes) * 100,
 			Budget: BudgetControlCPU * 100, Unit: "% of a core", Basis: "sum of measured slopes"},
+		CapacityRow{What: "gateway: live heap of the program with module, list and settings", Unit: "MB",
+			Figure: (sum("program: state", "bytes") + r.added("customers", "state", "bytes", 0, customersAtOnce)) / megabyte,
+			Budget: BudgetControlMemory / megabyte, Basis: "sum of measured slopes"},
+		CapacityRow{What: "gateway: decision of one request while 1 in 100 backends is cold", Unit: "us",
+			Figure: sum("request while 1 in 100 backends is cold", "us"), Basis: "sum of measured slopes",
+			Budget: float64(BudgetAddedLatency.Microseconds())},
 		CapacityRow{What: "gateway: decision of one request", Figure: request, Unit: "us", Basis: "sum of measured slopes",
 			Budget: float64(BudgetAddedLatency.Microseconds())},
 		CapacityRow{What: "gateway: whole settings at each of 2,400 changes a day", Unit: "bytes/s",
--- /dev/null
+++ b/internal/scalelab/program.go
@@ -0,0 +1,44 @@
+package scalelab
+
+import (
+	"math/rand/v2"
+	"runtime"
+
+	"cypresstrack/internal/frontdoor"
+)
+
+// measureProgram measures what the real program spends around the decision module: the configuration file read, the
+// list and its changes taken in by the loop that owns the module. Nothing is sent on sockets.
+func (c *Cost) measureProgram(backends []BackendInfo, settings Settings, random *rand.Rand) error {
+	var config frontdoor.Config
+	var err error
+	c.SettingsMicros = micros(func() { config, err = realConfig(settings, "127.0.0.1:1") }, 1)
+	if err != nil {
+		return err
+	}
+	hosts := make([]frontdoor.Endpoint, len(backends))
+	for i, backend := range backends {
+		hosts[i] = endpoint(ready(backend, 0), backendAddress(backend.ID))
+	}
+	before := heapInUse()
+	loop, err := frontdoor.NewLoop(config, frontdoor.NewBackends(config))
+	if err != nil {
+		return err
+	}
+	c.ProgramListMicros = micros(func() {
+		loop.Update(frontdoor.EndpointList{Seq: 1, Whole: true, Hosts: hosts})
+	}, 1)
+	c.ProgramStateBytes = float64(heapInUse()) - float64(before)
+	c.ProgramChangeMicros = micros(func() {
+		for range measuredChanges / 2 {
+			host := hosts[random.IntN(len(hosts))]
+			for _, health := range []string{"Terminating", "Ready"} {
+				host.Health = health
+				loop.Update(frontdoor.EndpointList{Hosts: []frontdoor.Endpoint{host}})
+			}
+		}
+	}, measuredChanges)
+	runtime.KeepAlive(loop)
+	runtime.KeepAlive(hosts)
+	return nil
+}
--- a/internal/scalelab/progress.go
+++ b/internal/scalelab/progress.go
@@ -14,9 +14,13 @@
 	mu    sync.Mutex
 	out   io.Writer
 	start time.Time
+	shown time.Time
 	width int
 }
 
+// showEvery is how often the line changes at most.
+const showEvery = 200 * time.Millisecond
+
 // NewProgress shows a line on out.
 func NewProgress(out io.Writer) Progress {
 	return Progress{&progressState{out: out, start: time.Now()}}
@@ -29,6 +33,10 @@
 	}
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
+	if time.Since(p.state.shown) < showEvery {
+		return
+	}
+	p.state.shown = time.Now()
 	text := fmt.Sprintf("%5.0fs ", time.Since(p.state.start).Seconds()) + fmt.Sprintf(format, args...)
 	fmt.Fprintf(p.state.out, "\r%-*s", p.state.width, text)
 	p.state.width = len(text)
--- a/internal/scalelab/single.go
+++ b/internal/scalelab/single.go
@@ -24,6 +24,12 @@
 	MeasuredSeconds  int     `json:"measured_seconds"`  // ticks
 	MeasuredChanges  int     `json:"measured_changes"`  // of the list, one entry each
 	MeetCustomerUs   float64 `json:"meet_customer_us"`  // ... of a request of a customer not met before
+
+	ColdRequestMicros   float64 `json:"cold_request_us"`   // ... of a request while coldShare of the backends are cold
+	SettingsMicros      float64 `json:"settings_us"`       // ... of the program's read of its configuration file
+	ProgramListMicros   float64 `json:"program_list_us"`   // ... of the whole list, in the whole program
+	ProgramChangeMicros float64 `json:"program_change_us"` // ... of a list change, in the whole program
+	ProgramStateBytes   float64 `json:"program_state"`     // live heap with the list, of the whole program
 }
 
 const (
@@ -33,6 +39,8 @@
 	keepsConnection = 9 * time.Second       // how long the real gateway keeps an idle connection to a backend
 	meetWithin      = 40 * time.Second      // all customers are met in, before the first is forgotten
 	usualUse        = 10.0                  // percent of its rate that each customer uses
+	coldShare       = 0.01                  // of the backends are cold at once, one at least
+	coldSeconds     = 2                     // that requests are measured meanwhile
 	start           = 1000 * time.Second    // of the simulated clock
 	requestEvery    = time.Second / TargetRequestRate
 )
@@ -99,8 +107,9 @@
 	cost.StateBytes = float64(heapInUse()) - float64(before)
 	host.measureTraffic(&cost, random)
 	host.measureChanges(&cost, backends, random)
+	host.measureCold(&cost, backends, random)
 	cost.measureWire(backends, settings)
-	return cost, nil
+	return cost, cost.measureProgram(backends, settings, random)
 }
 
 // micros is the processor time of one of count alike pieces of work, in microseconds.
@@ -160,3 +169,19 @@
 		}
 	}, measuredChanges)
 }
+
+// measureCold plays requests while some of the backends have just started.
+func (s *single) measureCold(cost *Cost, backends []BackendInfo, random *rand.Rand) {
+	size := cost.Size
+	cold := make([]BackendInfo, max(1, int(coldShare*float64(len(backends)))))
+	for i := range cold {
+		cold[i] = ready(backends[i*len(backends)/len(cold)], s.now)
+	}
+	s.gateway.TakeChanges(s.now, cold)
+	cost.ColdRequestMicros = micros(func() {
+		for range coldSeconds * TargetRequestRate {
+			s.finish(s.now + requestEvery)
+			s.request(random.IntN(size.Customers), random.IntN(size.Classes))
+		}
+	}, coldSeconds*TargetRequestRate)
+}
