--- a/internal/scalelab/single.go
+++ b/internal/scalelab/single.go
@@ -35,7 +35,7 @@
 const (
 	answerTime      = 90 * time.Millisecond // of every attempt here
 	measuredSeconds = 10                    // of simulated time at the target's rate
-	measuredChanges = 200                   // of the list
+	measuredChanges = 2000                  // of the list
 	keepsConnection = 9 * time.Second       // how long the real gateway keeps an idle connection to a backend
 	meetWithin      = 40 * time.Second      // all customers are met in, before the first is forgotten
 	usualUse        = 10.0                  // percent of its rate that each customer uses
--- a/internal/scalelab/sockets.go
+++ b/internal/scalelab/sockets.go
@@ -85,7 +85,8 @@
 // PlaySockets measures a real gateway with so many listed backends, of which a few stand-ins serve all.
 func PlaySockets(ctx context.Context, listed int, length time.Duration, progress Progress) (SocketResult, error) {
 	result := SocketResult{Listed: listed}
-	size := Size{Backends: listed, Customers: slopeBase.Customers, Classes: slopeBase.Classes, Gateways: 1}
+	size := Size{Backends: listed, Customers: slopeBase.Customers, Classes: slopeBase.Classes,
+		Gateways: max(1, listed*TargetGateways/TargetBackends)} // as many for a backend as at the target
 	if err := size.Validate(); err != nil {
 		return result, err
 	}
