--- a/internal/frontdoor/discovery.go
+++ b/internal/frontdoor/discovery.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -72,7 +71,6 @@
 	sharedSilence = 3 * time.Second
 	askWait       = 2 * time.Second // a call to a service may wait in turn for as long
 	listTime      = time.Second     // a list that has begun is whole by then: it is sent at once
-	mostList      = 4 << 20         // bytes of one list: thousands of backends, also indented
 )
 
 // Where the settings say that lists are pushed, an agent on the front door's own machine holds what it has been sent
@@ -330,8 +328,8 @@
 		return err
 	}
 	defer answer.end()
-	var list EndpointList
-	if err := json.NewDecoder(&bound{answer, mostList}).Decode(&list); err != nil {
+	list, err := newListReader(answer).next()
+	if err != nil {
 		return err
 	}
 	if !list.Whole {
@@ -354,12 +352,10 @@
 		return err
 	}
 	defer answer.end()
-	body := &bound{answer, mostList}
-	lines := json.NewDecoder(body)
+	lists := newListReader(answer)
 	for {
-		var list EndpointList
-		body.left = mostList
-		if err := lines.Decode(&list); err != nil {
+		list, err := lists.next()
+		if err != nil {
 			return err
 		}
 		answer.whole()
--- /dev/null
+++ b/internal/frontdoor/lists.go
@@ -0,0 +1,103 @@
+package frontdoor
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+)
+
+// The bounds on what discovery may send. A list's length is bounded by its entries and theirs, so that the longest list
+// that is needed passes, and a list or an entry without an end does not fill the memory.
+const (
+	mostList   = 4 << 20  // bytes of a list besides its entries, empty lines before it among them
+	mostEntry  = 64 << 10 // bytes of one entry, with what is read ahead behind it
+	mostHosts  = 150_000  // entries of one list: three times the fleet that is planned for
+	listBuffer = 16 << 10 // bytes read at once
+)
+
+var (
+	errManyHosts = errors.New("the list has more entries than lists may have")
+	errNoObject  = errors.New("a list is no JSON object")
+	errNoHosts   = errors.New("a list's hosts are no array")
+)
+
+// listReader reads lists one after another, each entry by entry: what it holds besides the entries that it has read is
+// a buffer and no text of a whole list.
+type listReader struct {
+	body    *bound
+	decoder *json.Decoder
+}
+
+func newListReader(answer io.Reader) *listReader {
+	body := &bound{r: bufio.NewReaderSize(answer, listBuffer)}
+	return &listReader{body: body, decoder: json.NewDecoder(body)}
+}
+
+// next reads one list. An error names the entry that it is about, and leaves nothing of the list.
+func (l *listReader) next() (EndpointList, error) {
+	l.body.left = mostList
+	list := EndpointList{}
+	if start, err := l.decoder.Token(); err != nil {
+		return EndpointList{}, err
+	} else if start != json.Delim('{') {
+		return EndpointList{}, errNoObject
+	}
+	for l.decoder.More() {
+		name, err := l.decoder.Token()
+		if err != nil {
+			return EndpointList{}, err
+		}
+		if err := l.field(&list, name.(string)); err != nil { // More and Token let only names stand here
+			return EndpointList{}, err
+		}
+	}
+	if _, err := l.decoder.Token(); err != nil {
+		return EndpointList{}, err
+	}
+	return list, nil
+}
+
+// field reads the value of one of a list's fields. Names are matched as encoding/json matches them.
+func (l *listReader) field(list *EndpointList, name string) error {
+	switch {
+	case strings.EqualFold(name, "seq"):
+		return l.decoder.Decode(&list.Seq)
+	case strings.EqualFold(name, "whole"):
+		return l.decoder.Decode(&list.Whole)
+	case strings.EqualFold(name, "hosts"):
+		hosts, err := l.hosts()
+		list.Hosts = hosts
+		return err
+	}
+	var unknown json.RawMessage
+	return l.decoder.Decode(&unknown)
+}
+
+// hosts reads the entries of a list.
+func (l *listReader) hosts() ([]Endpoint, error) {
+	start, err := l.decoder.Token()
+	if err != nil || start == nil { // null: no entries
+		return nil, err
+	}
+	if start != json.Delim('[') {
+		return nil, errNoHosts
+	}
+	var hosts []Endpoint
+	for l.decoder.More() {
+		if len(hosts) == mostHosts {
+			return nil, fmt.Errorf("entry %d: %w", len(hosts)+1, errManyHosts)
+		}
+		l.body.left = mostEntry
+		var host Endpoint
+		if err := l.decoder.Decode(&host); err != nil {
+			return nil, fmt.Errorf("entry %d, %.60q: %w", len(hosts)+1, host.Host, err)
+		}
+		hosts = append(hosts, host)
+	}
+	l.body.left = mostList
+	_, err = l.decoder.Token()
+	return hosts, err
+}
--- /dev/null
+++ b/internal/frontdoor/lists_test.go
@@ -0,0 +1,89 @@
+package frontdoor
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"reflect"
+	"runtime"
+	"strings"
+	"testing"
+)
+
+// plannedList is a list of as many backends as are planned for, as discovery writes it.
+func plannedList(t *testing.T, count int) string {
+	t.Helper()
+	list := EndpointList{Seq: 9, Whole: true}
+	for i := range count {
+		list.Hosts = append(list.Hosts, Endpoint{Host: fmt.Sprintf("s-%08x", i), Dial: fmt.Sprintf("10.1.%d.%d:8443", i/250, i%250),
+			Site: fmt.Sprintf("zone-%d", i%24), Class: "std-2core", Block: i, Health: "Ready", Share: 1})
+	}
+	text, err := json.Marshal(list)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// A list of 51,000 backends passes, and reading it allocates little besides its entries: the allocated bytes grow with
+// the entries, and no text of the whole list is held.
+func TestTheLongestPlannedListPasses(t *testing.T) {
+	read := func(count int) (allocated float64) {
+		text := plannedList(t, count)
+		var before, after runtime.MemStats
+		runtime.ReadMemStats(&before)
+		list, err := newListReader(strings.NewReader(text)).next()
+		runtime.ReadMemStats(&after)
+		if err != nil || len(list.Hosts) != count || list.Seq != 9 || !list.Whole || list.Hosts[count-1].Block != count-1 {
+			t.Fatalf("%d entries: %d read, %v", count, len(list.Hosts), err)
+		}
+		return float64(after.TotalAlloc - before.TotalAlloc)
+	}
+	few, many := read(5_100), read(51_000)
+	if many > 12*few || many > 48<<20 {
+		t.Errorf("%.1f MB allocated for 51,000 entries, %.1f MB for 5,100", many/(1<<20), few/(1<<20))
+	}
+}
+
+// What reads lists entry by entry takes what encoding/json takes.
+func TestListsAreReadAsJSON(t *testing.T) {
+	for _, text := range []string{`{}`, `{"seq":3}`, `{"whole":true,"hosts":[],"seq":-4}`, `{"hosts":null,"seq":7}`,
+		`{"new":{"deep":[1,{}]},"Seq":5,"HOSTS":[{"host":"a","new":1},{"host":"b","share":0.5}],"whole":false}`,
+		`{"hosts":[{"host":"a"}],"hosts":[{"host":"b"}],"seq":1,"seq":2}`, plannedList(t, 300)} {
+		var want EndpointList
+		if err := json.Unmarshal([]byte(text), &want); err != nil {
+			t.Fatal(err)
+		}
+		lists := newListReader(strings.NewReader("\n" + text + "\n\n" + text + "\n"))
+		for range 2 {
+			got, err := lists.next()
+			if err != nil || got.Seq != want.Seq || got.Whole != want.Whole || len(got.Hosts) != len(want.Hosts) ||
+				len(got.Hosts) > 0 && !reflect.DeepEqual(got.Hosts, want.Hosts) {
+				t.Errorf("%.60q was read as %.200q, %v", text, fmt.Sprint(got), err)
+			}
+		}
+		if _, err := lists.next(); err != io.EOF {
+			t.Errorf("after the last list: %v", err)
+		}
+	}
+}
+
+// A list that is no good is refused whole, by an error that names the entry.
+func TestBadListsNameTheEntry(t *testing.T) {
+	many := `{"hosts":[{"host":"a"}` + strings.Repeat(`,{}`, mostHosts) + `]}`
+	long := `{"hosts":[{"host":"a"},{"host":"` + strings.Repeat("x", 2*mostEntry) + `"}]}`
+	for _, c := range []struct {
+		name, text, says string
+		is               error
+	}{{"too many", many, fmt.Sprintf("entry %d:", mostHosts+1), errManyHosts}, {"too long", long, "entry 2", errBig},
+		{"another type", `{"hosts":[{"host":"a"},{"host":"b","block":"no number"}]}`, `entry 2, "b"`, nil},
+		{"cut", `{"seq":1,"hosts":[{"host":"a"},{"host":"b"`, "entry 2", io.ErrUnexpectedEOF},
+		{"no object", `[1]`, "no JSON object", errNoObject}, {"no array", `{"hosts":{"host":"a"}}`, "no array", errNoHosts},
+		{"endless field", `{"new":"` + strings.Repeat("x", 2*mostList), "larger", errBig}} {
+		list, err := newListReader(strings.NewReader(c.text)).next()
+		if err == nil || !strings.Contains(err.Error(), c.says) || c.is != nil && !errors.Is(err, c.is) || len(list.Hosts) != 0 {
+			t.Errorf("%s: %d hosts, error %v", c.name, len(list.Hosts), err)
+		}
+	}
+}
