--- a/internal/frontdoor/backends.go
+++ b/internal/frontdoor/backends.go
@@ -103,7 +103,7 @@
 func (b *Backends) update(list EndpointList, c clock) []ct.BackendInfo {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var infos []ct.BackendInfo
+	infos := make([]ct.BackendInfo, 0, len(list.Hosts))
 	if list.Whole {
 		for _, be := range b.byHost {
 			be.state = ct.Gone // unless listed
@@ -129,16 +129,27 @@
 		infos = append(infos, ct.BackendInfo{ID: be.id, State: be.state, Zone: e.Site, Kind: e.Class, Cell: e.Block,
 			Started: c.unixMilli(e.BornMS), Weight: e.Share})
 	}
-	for host, be := range b.byHost {
-		if be.state == ct.Gone {
-			b.pool.clear(be.place)
-			delete(b.byHost, host) // if it comes back it is a new one, to the gateway as well
-			delete(b.byID, be.id)
+	if list.Whole {
+		for host, be := range b.byHost {
+			b.forgetGone(host, be)
 		}
+		return infos
+	}
+	for _, e := range list.Hosts { // changes must not cost a look at all backends
+		b.forgetGone(e.Host, b.byHost[e.Host])
 	}
 	return infos
 }
 
+// forgetGone forgets a backend that is gone. If it comes back it is a new one, to the gateway as well.
+func (b *Backends) forgetGone(host string, be *backend) {
+	if be != nil && be.state == ct.Gone {
+		b.pool.clear(be.place)
+		delete(b.byHost, host)
+		delete(b.byID, be.id)
+	}
+}
+
 // ready gives the place of a backend that may be sent something now, else nil.
 func (b *Backends) ready(id ct.BackendID) *place {
 	b.mu.Lock()
