--- /dev/null
+++ b/internal/ranked/list.go
@@ -0,0 +1,114 @@
+// Package ranked keeps values in the order of their ranks.
+package ranked
+
+import (
+	"iter"
+	"math/rand/v2"
+	"slices"
+	"sort"
+)
+
+// mostInBlock is the length at which a block is divided. Up to it a list is one block, a sorted slice.
+const mostInBlock = 512
+
+// List holds values by rank, lowest first. To add or remove one moves a block's values at most and looks at the blocks'
+// first ranks by halves, so the cost hardly grows with the length of the list. Ranks must differ. The zero List is
+// empty and ready.
+type List[T any] struct {
+	blocks []block[T] // none is empty
+	length int
+}
+
+type block[T any] struct {
+	ranks  []uint64
+	values []T
+}
+
+// Len is how many values the list holds.
+func (l *List[T]) Len() int { return l.length }
+
+// find gives the block that a rank belongs to, and its place there.
+func (l *List[T]) find(rank uint64) (at, place int, found bool) {
+	at = max(0, sort.Search(len(l.blocks), func(i int) bool { return l.blocks[i].ranks[0] > rank })-1)
+	if at < len(l.blocks) {
+		place, found = slices.BinarySearch(l.blocks[at].ranks, rank)
+	}
+	return at, place, found
+}
+
+// Insert adds a value. One of the same rank is replaced.
+func (l *List[T]) Insert(rank uint64, value T) {
+	at, place, found := l.find(rank)
+	if found {
+		l.blocks[at].values[place] = value
+		return
+	}
+	l.length++
+	if len(l.blocks) == 0 {
+		l.blocks = []block[T]{{ranks: []uint64{rank}, values: []T{value}}}
+		return
+	}
+	b := &l.blocks[at]
+	b.ranks = slices.Insert(b.ranks, place, rank)
+	b.values = slices.Insert(b.values, place, value)
+	if len(b.ranks) > mostInBlock {
+		half := len(b.ranks) / 2
+		upper := block[T]{ranks: slices.Clone(b.ranks[half:]), values: slices.Clone(b.values[half:])}
+		clear(b.values[half:])
+		b.ranks, b.values = b.ranks[:half], b.values[:half]
+		l.blocks = slices.Insert(l.blocks, at+1, upper)
+	}
+}
+
+// Delete removes the value of a rank, if there is one.
+func (l *List[T]) Delete(rank uint64) {
+	at, place, found := l.find(rank)
+	if !found {
+		return
+	}
+	l.length--
+	b := &l.blocks[at]
+	b.ranks = slices.Delete(b.ranks, place, place+1)
+	b.values = slices.Delete(b.values, place, place+1)
+	if len(b.ranks) == 0 {
+		l.blocks = slices.Delete(l.blocks, at, at+1)
+	}
+}
+
+// All gives the values in order. The list must not change meanwhile.
+func (l *List[T]) All() iter.Seq[T] { return l.From(0, 0) }
+
+// From gives the values in order, but those of the first count from the place from on, and then those before it: a turn
+// of the list's beginning. The list must not change meanwhile.
+func (l *List[T]) From(from, count int) iter.Seq[T] {
+	return func(yield func(T) bool) {
+		_ = l.span(from, count, yield) && l.span(0, from, yield) && l.span(max(from, count), l.length, yield)
+	}
+}
+
+// Some gives the values in order. Where a walk that ends after most of them would see only a part of the first count, it
+// begins at a random place among these and goes round, so that all of them are seen alike. Else nothing is drawn.
+func (l *List[T]) Some(count, most int, random *rand.Rand) iter.Seq[T] {
+	if count = min(count, l.length); count > most {
+		return l.From(random.IntN(count), count)
+	}
+	return l.From(0, 0)
+}
+
+// span yields the values at the places from one to before another, and tells whether all were wanted.
+func (l *List[T]) span(from, to int, yield func(T) bool) bool {
+	for _, b := range l.blocks {
+		if to <= 0 {
+			return true
+		}
+		if from < len(b.values) {
+			for _, value := range b.values[max(0, from):min(to, len(b.values))] {
+				if !yield(value) {
+					return false
+				}
+			}
+		}
+		from, to = from-len(b.values), to-len(b.values)
+	}
+	return true
+}
