--- a/gateway.go
+++ b/gateway.go
@@ -5,11 +5,12 @@
 // attempts, timers. The comments tell where something is an exception from the published mechanism.
 
 import (
-	"cmp"
 	"math"
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"cypresstrack/internal/ranked"
 )
 
 const (
@@ -136,13 +137,15 @@
 	started   bool
 	acts      []Action
 	backends  map[BackendID]*backend
-	order     []*backend // by rank
 	requests  map[RequestID]*request
 	bySeq     map[uint64]*request
 	seq       uint64
 	customers map[CustomerID]*customer
 	weighing
 
+	order       ranked.List[*backend] // by rank
+	away, colds ranked.Bag[*backend]  // not ready; cold, and some that were
+
 	worths []float64 // of the last medianOver arrivals
 	median float64
 
@@ -156,7 +159,6 @@
 	tiers            [2]tier // low, high
 	splitAt          time.Duration
 	meanLat, bestLat float64 // running mean latency of answers, 1/mu; its slowly forgotten low
-	out              int
 	ended, bads      float64 // attempts ended, and badly, fading
 	aims, flow       float64 // sum of the aims of a second's answers; its mean
 	sends, sendRate  float64 // of this second; a second, on average
@@ -449,7 +451,7 @@
 // must lie byChance over that. In a jam, where most are bad, it costs a second at most.
 func (g *Gateway) adjustN() {
 	weight := max(slowest, min(0.5, g.sendRate/minEnded))
-	sick, ready := 0, 0
+	sick, ready := 0, g.order.Len()-g.away.Len()
 	for _, r := range g.requests { // counts only: the order reaches no action
 		for i := range r.tries {
 			if t := &r.tries[i]; t.open && !t.told && (g.now-t.sent).Seconds() > r.class.late() {
@@ -459,9 +461,8 @@
 			}
 		}
 	}
-	for _, b := range g.order {
+	for b := range g.order.All() {
 		sick += b2i(b.badAt > 0 && g.now-b.badAt < seconds(0.5/weight))
-		ready += b2i(b.State == Ready)
 	}
 	g.flow += weight * (g.aims - g.flow)
 	g.aims = 0
@@ -615,8 +616,9 @@
 		return
 	}
 	if ev.Kind != ListChanges {
-		for _, b := range g.order {
+		for b := range g.order.All() {
 			b.State = Gone
+			g.away.Add(b)
 		}
 	}
 	for _, info := range ev.Backends {
@@ -627,47 +629,47 @@
 			}
 			b = &backend{slow: 1, owedAt: g.now, tokensAt: g.now, rank: g.rng.Uint64()}
 			g.backends[info.ID] = b
-			i, _ := slices.BinarySearchFunc(g.order, b.rank, func(b *backend, rank uint64) int {
-				return cmp.Compare(b.rank, rank)
-			})
-			g.order = slices.Insert(g.order, i, b)
+			g.order.Insert(b.rank, b)
 		}
 		if info.Started > b.coldSince && info.Started > 0 {
 			b.cold, b.coldSince = true, info.Started
 			b.slow, b.owed, b.holdUntil, b.tokens, b.tokensAt = 1, 0, 0, g.rng.Float64(), g.now
+			g.colds.Add(b)
+		}
+		if b.BackendInfo = info; info.State != Ready {
+			g.away.Add(b)
 		}
-		b.BackendInfo = info
 	}
-	g.order = slices.DeleteFunc(g.order, func(b *backend) bool {
+	g.away.Sweep(func(b *backend) bool {
 		if b.State == Gone && b.out == 0 {
 			delete(g.backends, b.ID)
-			return true
+			g.order.Delete(b.rank)
+			return false
 		}
-		return false
+		return b.State != Ready
 	})
 }
 
 // choose picks the ready backend where a further attempt should be answered first: least attempts out times
-// its slowness, with silent ones costing more.
+// its slowness, with silent ones costing more. Where it keeps to many, it looks at some of them, drawn anew.
 func (g *Gateway) choose(r *request) *backend {
 	var best *backend
-	least, seen, most := math.Inf(1), 0.0, g.known()
-	for _, b := range g.order {
-		if seen >= most || b.State != Ready || g.now < b.holdUntil || !g.mayGo(r, b) {
+	least, seen, warm, known := math.Inf(1), 0.0, 0.0, g.known()
+	for b := range g.order.Some(int(known), mostLooked, g.rng) {
+		if seen >= min(known, mostLooked) {
+			break
+		}
+		if b.State != Ready || g.now < b.holdUntil || !g.mayGo(r, b) {
 			continue
 		}
 		owed := g.owes(b)
 		seen += float64(b2i(owed <= quietFor))
-		if !g.coldToken(b) {
-			continue
-		}
-		quiet := 1 + max(0, owed-quietFor)
-		cost := float64(b.out+1) * b.slow * quiet * (1 + 0.05*g.rng.Float64())
-		if b.cold {
-			cost *= coldTurn
-		}
-		if cost < least {
-			best, least = b, cost
+		if turn := g.coldToken(b, &warm); turn > 0 {
+			quiet := 1 + max(0, owed-quietFor)
+			cost := float64(b.out+1) * b.slow * quiet * (1 + 0.05*g.rng.Float64()) * turn
+			if cost < least {
+				best, least = b, cost
+			}
 		}
 	}
 	return best
@@ -676,7 +678,7 @@
 // mayGo is rule 2 and good sense: not where the request was before, and, once it may have run, only inside
 // the group that drops its repeats and the time that the group remembers it.
 func (g *Gateway) mayGo(r *request, b *backend) bool {
-	if len(g.order) > 1 && slices.ContainsFunc(r.tries, func(t attempt) bool { return t.b == b }) {
+	if g.order.Len() > 1 && slices.ContainsFunc(r.tries, func(t attempt) bool { return t.b == b }) {
 		return false
 	}
 	t, group := r.ran(), r.class.Group
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -325,7 +325,7 @@
 		g.n, g.size, g.ended, g.bads = n, [3]float64{0, 0, n}, ended, bad
 		g.used[partPool], g.sendRate = 50, 50 // many sends: a second is weighed by a half
 		g.flow, g.aims = flow, flow
-		for _, b := range g.order[:sick] {
+		for _, b := range slices.Collect(g.order.All())[:sick] {
 			b.badAt = g.now
 		}
 		g.adjustN()
@@ -365,7 +365,7 @@
 	g := r.g
 	g.n, g.size, g.marked, g.ended, g.bads, g.flow = 100, [3]float64{0, 0, 100}, 60, 100, 50, 180
 	g.used[partPool] = 130
-	for _, b := range g.order {
+	for b := range g.order.All() {
 		b.badAt = g.now
 	}
 	if g.adjustN(); g.n != 90 {
@@ -757,7 +757,7 @@
 			r.outcome(id, s.Backend, n, Answered)
 		}
 	}
-	if last > 150 || len(r.g.order) != 4 {
+	if last > 150 || r.g.order.Len() != 4 {
 		t.Errorf("the silent backend still got request %d", last)
 	}
 }
--- a/health.go
+++ b/health.go
@@ -24,6 +24,7 @@
 
 	knownFor   = 4 * second // a door keeps to as many backends as it sends requests in this time
 	knownLeast = 4.0        // ... and to this many at least
+	mostLooked = 256        // of these are looked at for one attempt at most
 )
 
 // known is how many backends this door keeps to: of a few that it hears from every few seconds it learns
@@ -39,8 +40,8 @@
 func (g *Gateway) noConnection(b *backend) {
 	b.holdUntil = g.now + min(firstHold<<b.unreached, longestHold)
 	if b.unreached++; b.unreached >= downAfter {
-		b.cold, b.coldSince, b.tokens = true, g.now, 0
-		b.unreached = downAfter
+		b.cold, b.coldSince, b.tokens, b.unreached = true, g.now, 0, downAfter
+		g.colds.Add(b)
 	}
 }
 
@@ -57,28 +58,29 @@
 // keeps to. If every door does so, together they stay within its present capacity wherever the rest can bear its load,
 // with the fall multiple as the margin. At most one send is saved up: none bursts in. Where one of many doors gets to
 // a backend every few seconds only, a whole token would take the time of the warming up; so each door begins with a
-// random part of one, and all together send at the right rate from the first second on.
-func (g *Gateway) coldToken(b *backend) bool {
+// random part of one, and all together send at the right rate from the first second on. 0: none yet; else part of cost.
+func (g *Gateway) coldToken(b *backend, warm *float64) float64 {
 	w := g.warmth(b)
 	if !b.cold {
-		return true
+		return 1
 	}
-	ready, warm := 0.0, 0.0
-	for _, o := range g.order {
-		if o.State == Ready {
-			ready++
-			warm += g.warmth(o)
-		}
+	ready := float64(g.order.Len() - g.away.Len())
+	if *warm == 0 {
+		*warm = ready
+		g.colds.Sweep(func(o *backend) bool {
+			*warm += float64(b2i(o.State == Ready)) * (g.warmth(o) - 1)
+			return o.cold && g.backends[o.ID] == o
+		})
 	}
 	sends := g.sendRate
 	if g.ticks == 0 { // nothing counted yet, and many doors may be new at once: what it has sent is all that it knows
 		sends = g.sends
 	}
 	rate := max(sends, ready/float64(g.set.FrontDoors)) / min(ready, g.known())
-	part := w * min(ready/warm, coldMost*g.set.FallMultiple) // of what a warm one is sent on average
+	part := w * min(ready / *warm, coldMost*g.set.FallMultiple) // of what a warm one is sent on average
 	b.tokens = min(1, b.tokens+part*rate*(g.now-b.tokensAt).Seconds())
 	b.tokensAt = g.now
-	return b.tokens >= 1
+	return coldTurn * float64(b2i(b.tokens >= 1))
 }
 
 // owes brings up to now how many mean answers the backend owes since its last one: whatever makes it go silent (hang,
--- a/health_test.go
+++ b/health_test.go
@@ -1,6 +1,9 @@
 package cypresstrack
 
-import "testing"
+import (
+	"slices"
+	"testing"
+)
 
 // Connections break one by one on some days. A reset must not take a backend for one that has restarted, or all of
 // them are soon cold together; only where no connection comes up any more is one down.
@@ -69,7 +72,7 @@
 		{"keyed, in its cell", "celled", func(*rig) {}, 1},
 		{"unsafe", "once", func(*rig) {}, 0},
 		{"keyed, alone in its cell", "celled", func(r *rig) {
-			for i, b := range r.g.order {
+			for i, b := range slices.Collect(r.g.order.All()) {
 				b.Cell = i
 			}
 		}, 0},
@@ -136,7 +139,7 @@
 			t.Errorf("after %d strikes: owes %v, not over %v, or slowness %v is not %v", n+1, b.owed, last, b.slow, slow)
 		}
 		last = b.owed
-		for _, o := range r.g.order { // the rest is shut, so that the next attempt goes there as well
+		for o := range r.g.order.All() { // the rest is shut, so that the next attempt goes there as well
 			o.holdUntil = r.now
 			if o != b {
 				o.holdUntil = r.now + second
--- /dev/null
+++ b/listing_test.go
@@ -0,0 +1,142 @@
+package cypresstrack
+
+import (
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+// Whatever lists say, whole, half, stale, doubled or back and forth, and whatever is out meanwhile: what the gateway holds
+// of them is what a plain reading of each list gives, and what is counted is what a look at all of them counts.
+func TestListsAreKeptWhateverTheySay(t *testing.T) {
+	const backends, steps = 40, 3000
+	rng := rand.New(rand.NewPCG(5, 6))
+	r := newRig(t, testSettings(), fleet(backends/2)...)
+	want := map[BackendID]BackendInfo{}
+	for _, info := range fleet(backends / 2) {
+		want[info.ID] = info
+	}
+	type out struct {
+		Send
+		try int
+	}
+	var sent []out
+	for step := range steps {
+		r.now += 10 * ms
+		if rng.IntN(3) == 0 {
+			_, actions := r.ask("safe", "wide", 1)
+			for _, s := range sends(actions) {
+				sent = append(sent, out{s, 0})
+			}
+		}
+		if len(sent) > 0 && rng.IntN(4) == 0 {
+			i := rng.IntN(len(sent))
+			o := sent[i]
+			sent = slices.Delete(sent, i, i+1)
+			for _, s := range sends(r.outcome(o.Request, o.Backend, o.try, []Result{Answered, NoConnection, Refused}[rng.IntN(3)])) {
+				sent = append(sent, out{s, o.try + 1})
+			}
+		}
+		list := BackendList{Kind: ListChanges}
+		if rng.IntN(20) == 0 {
+			list.Kind = ListFull
+			clear(want)
+		}
+		for range rng.IntN(6) {
+			info := BackendInfo{ID: BackendID(1 + rng.IntN(backends)), State: BackendState(rng.IntN(3)), Weight: 1}
+			if rng.IntN(3) == 0 {
+				info.Started = r.now
+			}
+			list.Backends = append(list.Backends, info)
+			want[info.ID] = info
+		}
+		r.do(list)
+		checkListing(t, r.g, want, step)
+	}
+}
+
+// checkListing compares what the gateway holds with what the lists said last of each backend.
+func checkListing(t *testing.T, g *Gateway, want map[BackendID]BackendInfo, step int) {
+	t.Helper()
+	ready, cold, warm := 0, 0, 0.0
+	for b := range g.order.All() {
+		if info, listed := want[b.ID]; b.State != Gone && (!listed || info.State != b.State) {
+			t.Fatalf("step %d: backend %d is %d here, %+v in the lists", step, b.ID, b.State, info)
+		}
+		if b.State == Gone && b.out == 0 || g.backends[b.ID] != b {
+			t.Fatalf("step %d: backend %d is still here", step, b.ID)
+		}
+		if b.State == Ready {
+			ready++
+			warm += g.warmth(b)
+			cold += b2i(b.cold)
+		}
+	}
+	listed := 0
+	for _, info := range want {
+		listed += b2i(info.State == Ready)
+	}
+	if ready != listed || g.order.Len()-g.away.Len() != ready || g.order.Len() != len(g.backends) {
+		t.Fatalf("step %d: %d ready, %d in the lists, %d counted; %d in order of %d", step, ready, listed,
+			g.order.Len()-g.away.Len(), g.order.Len(), len(g.backends))
+	}
+	colds, sum := 0, float64(ready)
+	g.colds.Sweep(func(b *backend) bool {
+		if b.State == Ready && g.backends[b.ID] == b {
+			sum += g.warmth(b) - 1
+			colds += b2i(b.cold)
+		}
+		return true
+	})
+	if colds != cold || sum < warm-1e-9 || sum > warm+1e-9 {
+		t.Fatalf("step %d: %d cold, %d kept as such; warmth %v, kept %v", step, cold, colds, warm, sum)
+	}
+}
+
+// A request costs a look at mostLooked backends however many are listed, and at each that the gateway keeps to where
+// these are no more than that.
+func TestLooksAreBounded(t *testing.T) {
+	looks := func(backends int) (most int) {
+		r := newRig(t, testSettings(), fleet(backends)...)
+		r.g.sendRate = 1000
+		for range 50 {
+			r.now += ms
+			_, actions := r.ask("safe", "wide", 1)
+			s := sends(actions)[0]
+			looked := 0
+			for b := range r.g.order.All() {
+				looked += b2i(b.owedAt == r.now)
+			}
+			most = max(most, looked)
+			r.outcome(s.Request, s.Backend, 0, Answered)
+		}
+		return most
+	}
+	for _, backends := range []int{1, 40, mostLooked, 4 * mostLooked, 20 * mostLooked} {
+		if got, want := looks(backends), min(backends, mostLooked); got != want {
+			t.Errorf("%d backends: %d looked at for a request, want %d", backends, got, want)
+		}
+	}
+}
+
+// Of the backends that a gateway keeps to all are used, also where it looks at a part of them each time.
+func TestAllKeptBackendsAreUsed(t *testing.T) {
+	const kept, requests = 2 * mostLooked, 20 * 2 * mostLooked
+	r := newRig(t, testSettings(), fleet(4*kept)...)
+	used := map[BackendID]int{}
+	for range requests {
+		r.now += second / (kept / 4) // so that known() is kept
+		r.g.sendRate = kept / 4
+		_, actions := r.ask("safe", "wide", 1)
+		s := sends(actions)[0]
+		used[s.Backend]++
+		r.outcome(s.Request, s.Backend, 0, Answered)
+	}
+	least := requests
+	for _, n := range used {
+		least = min(least, n)
+	}
+	if len(used) != kept || least < requests/kept/3 {
+		t.Errorf("%d backends used, the least of them %d times; want %d and %d on average", len(used), least, kept, requests/kept)
+	}
+}
