--- a/internal/scalelab/lab.go
+++ b/internal/scalelab/lab.go
@@ -12,6 +12,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"runtime/debug"
 	"slices"
 	"time"
 )
@@ -104,6 +105,7 @@
 		if !slices.Contains(options.Experiments, name) {
 			continue
 		}
+		debug.FreeOSMemory() // what one experiment leaves behind must not cost the next one
 		if err := plays[name](ctx, progress); err != nil {
 			report.CutShort = fmt.Sprintf("%s: %v", name, err)
 			report.Capacity = report.capacity()
--- a/internal/scalelab/sockets.go
+++ b/internal/scalelab/sockets.go
@@ -5,6 +5,7 @@
 	"errors"
 	"net"
 	"runtime"
+	"slices"
 	"sync/atomic"
 	"time"
 
@@ -33,6 +34,7 @@
 const (
 	standInServers = 8
 	listPatience   = 10 * time.Second
+	loadRounds     = 5
 	burstTimes     = 5
 	burstPause     = time.Second
 	warmUp         = time.Second
@@ -166,19 +168,45 @@
 }
 
 // measureLoad plays the target's rate for a time and then bursts of a second's requests, after a short warm-up.
-// cpu is the process's processor time for one steady request, in microseconds.
+// The steady requests come in rounds, of which the latencies are medians: what else the machine does for a moment spoils a
+// round and not the measurement. cpu is the process's processor time for one steady request, in microseconds.
 func measureLoad(ctx context.Context, client *loadClient, length time.Duration) (steady, burst Latencies, cpu float64) {
 	defer client.transport.CloseIdleConnections()
 	client.steady(ctx, TargetRequestRate, warmUp)
 	client.take()
 	used := processorTime()
-	client.steady(ctx, TargetRequestRate, length)
-	steady = client.take()
+	rounds := make([]Latencies, loadRounds)
+	for i := range rounds {
+		client.steady(ctx, TargetRequestRate, length/loadRounds)
+		rounds[i] = client.take()
+	}
+	steady = medians(rounds)
 	cpu = float64((processorTime() - used).Microseconds()) / float64(max(1, steady.Requests))
 	client.bursts(ctx, TargetRequestRate, burstTimes, burstPause)
 	return steady, client.take(), cpu
 }
 
+// medians sums up the counts of rounds and takes the medians of their latencies.
+func medians(rounds []Latencies) Latencies {
+	var all Latencies
+	median := func(of func(Latencies) float64) float64 {
+		values := make([]float64, len(rounds))
+		for i, round := range rounds {
+			values[i] = of(round)
+		}
+		slices.Sort(values)
+		return values[len(values)/2]
+	}
+	for _, round := range rounds {
+		all.Requests += round.Requests
+		all.Failed += round.Failed
+		all.Most = max(all.Most, round.Most)
+	}
+	all.Median = median(func(l Latencies) float64 { return l.Median })
+	all.P99 = median(func(l Latencies) float64 { return l.P99 })
+	return all
+}
+
 // idle is the share of a core that the process uses while nothing is asked of it.
 func idle(ctx context.Context) float64 {
 	used, begin := processorTime(), time.Now()
