--- a/gateway.go
+++ b/gateway.go
@@ -655,10 +655,8 @@
 func (g *Gateway) choose(r *request) *backend {
 	var best *backend
 	least, seen, warm, known := math.Inf(1), 0.0, 0.0, g.known()
-	for b := range g.order.Some(int(known), mostLooked, g.rng) {
-		if seen >= min(known, mostLooked) {
-			break
-		}
+	for walk := g.order.Some(int(known), mostLooked, g.rng); seen < min(known, mostLooked) && walk.Next(); {
+		b := walk.Value()
 		if b.State != Ready || g.now < b.holdUntil || !g.mayGo(r, b) {
 			continue
 		}
--- a/health.go
+++ b/health.go
@@ -66,11 +66,12 @@
 	}
 	ready := float64(g.order.Len() - g.away.Len())
 	if *warm == 0 {
-		*warm = ready
+		sum := ready
 		g.colds.Sweep(func(o *backend) bool {
-			*warm += float64(b2i(o.State == Ready)) * (g.warmth(o) - 1)
+			sum += float64(b2i(o.State == Ready)) * (g.warmth(o) - 1)
 			return o.cold && g.backends[o.ID] == o
 		})
+		*warm = sum
 	}
 	sends := g.sendRate
 	if g.ticks == 0 { // nothing counted yet, and many doors may be new at once: what it has sent is all that it knows
--- a/internal/ranked/list.go
+++ b/internal/ranked/list.go
@@ -76,39 +76,63 @@
 }
 
 // All gives the values in order. The list must not change meanwhile.
-func (l *List[T]) All() iter.Seq[T] { return l.From(0, 0) }
-
-// From gives the values in order, but those of the first count from the place from on, and then those before it: a turn
-// of the list's beginning. The list must not change meanwhile.
-func (l *List[T]) From(from, count int) iter.Seq[T] {
+func (l *List[T]) All() iter.Seq[T] {
 	return func(yield func(T) bool) {
-		_ = l.span(from, count, yield) && l.span(0, from, yield) && l.span(max(from, count), l.length, yield)
+		for walk := l.From(0, 0); walk.Next(); {
+			if !yield(walk.Value()) {
+				return
+			}
+		}
 	}
 }
 
-// Some gives the values in order. Where a walk that ends after most of them would see only a part of the first count, it
+// From walks the values in order, but those of the first count from the place from on, and then those before it: a turn
+// of the list's beginning. The list must not change meanwhile.
+func (l *List[T]) From(from, count int) Walk[T] {
+	rest := max(from, count)
+	return Walk[T]{list: l, spans: [3]span{{from, count - from}, {0, from}, {rest, l.length - rest}}}
+}
+
+// Some walks the values in order. Where a walk that ends after most of them would see only a part of the first count, it
 // begins at a random place among these and goes round, so that all of them are seen alike. Else nothing is drawn.
-func (l *List[T]) Some(count, most int, random *rand.Rand) iter.Seq[T] {
+func (l *List[T]) Some(count, most int, random *rand.Rand) Walk[T] {
 	if count = min(count, l.length); count > most {
 		return l.From(random.IntN(count), count)
 	}
 	return l.From(0, 0)
 }
 
-// span yields the values at the places from one to before another, and tells whether all were wanted.
-func (l *List[T]) span(from, to int, yield func(T) bool) bool {
-	for _, b := range l.blocks {
-		if to <= 0 {
-			return true
-		}
-		if from < len(b.values) {
-			for _, value := range b.values[max(0, from):min(to, len(b.values))] {
-				if !yield(value) {
-					return false
-				}
-			}
+// span is so many values from a place on.
+type span struct{ from, count int }
+
+// Walk goes over a list's values, and costs no memory.
+type Walk[T any] struct {
+	list      *List[T]
+	spans     [3]span
+	begun     int // spans
+	at, place int // of the next value: its block and its place there
+	left      int // values of the span that is under way
+	value     T
+}
+
+// Next goes on to the next value, and tells whether there is one.
+func (w *Walk[T]) Next() bool {
+	for w.left <= 0 {
+		if w.begun == len(w.spans) {
+			return false
 		}
-		from, to = from-len(b.values), to-len(b.values)
+		w.at, w.place, w.left = 0, w.spans[w.begun].from, w.spans[w.begun].count
+		w.begun++
+	}
+	for w.place >= len(w.list.blocks[w.at].values) {
+		w.place -= len(w.list.blocks[w.at].values)
+		w.at++
 	}
+	w.value = w.list.blocks[w.at].values[w.place]
+	w.place++
+	w.left--
 	return true
 }
+
+// Value is the value that Next went to.
+func (w *Walk[T]) Value() T { return w.value }
--- a/internal/ranked/list_test.go
+++ b/internal/ranked/list_test.go
@@ -22,12 +22,12 @@
 		count := 1 + random.IntN(len(want))
 		from := random.IntN(count)
 		turned := slices.Concat(want[from:count], want[:from], want[count:])
-		if got := slices.Collect(list.From(from, count)); !slices.Equal(got, turned) {
+		if got := collect(list.From(from, count)); !slices.Equal(got, turned) {
 			t.Fatalf("turned by %d of %d: %d values, %d wanted", from, count, len(got), len(turned))
 		}
-		for value := range list.From(from, count) {
-			if value != turned[0] {
-				t.Fatalf("the first is %d, want %d", value, turned[0])
+		for value := range list.All() {
+			if value != want[0] {
+				t.Fatalf("the first is %d, want %d", value, want[0])
 			}
 			break
 		}
@@ -58,6 +58,13 @@
 	}
 }
 
+func collect[T any](walk Walk[T]) (values []T) {
+	for walk.Next() {
+		values = append(values, walk.Value())
+	}
+	return values
+}
+
 // Memory is given back as values leave, block by block.
 func TestEmptyBlocksGo(t *testing.T) {
 	var list List[int]
@@ -104,11 +111,8 @@
 	var seen [length]int
 	for range walks {
 		left := most
-		for value := range list.Some(count, most, random) {
-			if left--; left < 0 {
-				break
-			}
-			seen[value]++
+		for walk := list.Some(count, most, random); left > 0 && walk.Next(); left-- {
+			seen[walk.Value()]++
 		}
 	}
 	const mean = walks * most / count
@@ -116,7 +120,7 @@
 		slices.Max(seen[count:]) > 0 {
 		t.Errorf("seen %d to %d times, %d on average; beyond them %d", least, highest, mean, slices.Max(seen[count:]))
 	}
-	if got := slices.Collect(list.Some(most, most, nil)); !slices.IsSorted(got) || len(got) != length {
+	if got := collect(list.Some(most, most, nil)); !slices.IsSorted(got) || len(got) != length {
 		t.Errorf("a walk that sees all is not in order, or gives %d of %d", len(got), length)
 	}
 }
