--- a/internal/frontdoor/lists_test.go
+++ b/internal/frontdoor/lists_test.go
@@ -9,6 +9,9 @@
 	"runtime"
 	"strings"
 	"testing"
+	"time"
+
+	ct "cypresstrack"
 )
 
 // plannedList is a list of as many backends as are planned for, as discovery writes it.
@@ -87,3 +90,18 @@
 		}
 	}
 }
+
+// A closed loop's timers end: its gateway hears of no further tick.
+func TestClosedLoopHearsNoTimer(t *testing.T) {
+	g := script(nil)
+	l := newLoop(clock{time.Now()}, g, NewBackends(config(t)))
+	l.post(ct.Timer{Token: 1})
+	if timer := next[ct.Timer](t, g); timer.Token != 1 {
+		t.Errorf("heard of timer %d", timer.Token)
+	}
+	l.Close()
+	l.post(ct.Timer{Token: 2})
+	if n := len(g.heard); n != 0 {
+		t.Errorf("heard of %d more", n)
+	}
+}
--- a/internal/frontdoor/loop.go
+++ b/internal/frontdoor/loop.go
@@ -83,6 +83,7 @@
 	backends *Backends
 
 	mu      sync.Mutex
+	closed  bool // no event is handled any more
 	gateway decider
 	calls   map[ct.RequestID]*call
 	events  []ct.Event  // not yet handled; an action may add to them
@@ -200,7 +201,16 @@
 func (l *Loop) post(ev ct.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.handle(ev)
+	if !l.closed {
+		l.handle(ev)
+	}
+}
+
+// Close ends the gateway's timers, so that a loop of which nothing is wanted any more costs nothing. It ends no request.
+func (l *Loop) Close() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.closed = true
 }
 
 // send starts an attempt. One for a request that has ended is not sent.
--- a/internal/scalelab/program.go
+++ b/internal/scalelab/program.go
@@ -25,6 +25,7 @@
 	if err != nil {
 		return err
 	}
+	defer loop.Close()
 	c.ProgramListMicros = micros(func() {
 		loop.Update(frontdoor.EndpointList{Seq: 1, Whole: true, Hosts: hosts})
 	}, 1)
@@ -38,7 +39,6 @@
 			}
 		}
 	}, measuredChanges)
-	runtime.KeepAlive(loop)
 	runtime.KeepAlive(hosts)
 	return nil
 }
--- a/internal/scalelab/sockets.go
+++ b/internal/scalelab/sockets.go
@@ -81,6 +81,7 @@
 
 func (g *realGateway) end() error {
 	g.stop()
+	defer g.loop.Close()
 	return <-g.ended
 }
 
