--- a/health.go
+++ b/health.go
@@ -58,7 +58,8 @@
 // keeps to. If every door does so, together they stay within its present capacity wherever the rest can bear its load,
 // with the fall multiple as the margin. At most one send is saved up: none bursts in. Where one of many doors gets to
 // a backend every few seconds only, a whole token would take the time of the warming up; so each door begins with a
-// random part of one, and all together send at the right rate from the first second on. 0: none yet; else part of cost.
+// random part of one, and all together send at the right rate from the first second on.
+// It is 0 where no send is due, else the factor of the backend's cost. warm, if 0, becomes the warmth of all.
 func (g *Gateway) coldToken(b *backend, warm *float64) float64 {
 	w := g.warmth(b)
 	if !b.cold {
