--- a/internal/ranked/list.go
+++ b/internal/ranked/list.go
@@ -78,9 +78,11 @@
 // All gives the values in order. The list must not change meanwhile.
 func (l *List[T]) All() iter.Seq[T] {
 	return func(yield func(T) bool) {
-		for walk := l.From(0, 0); walk.Next(); {
-			if !yield(walk.Value()) {
-				return
+		for _, b := range l.blocks {
+			for _, value := range b.values {
+				if !yield(value) {
+					return
+				}
 			}
 		}
 	}
@@ -107,30 +109,43 @@
 
 // Walk goes over a list's values, and costs no memory.
 type Walk[T any] struct {
-	list      *List[T]
-	spans     [3]span
-	begun     int // spans
-	at, place int // of the next value: its block and its place there
-	left      int // values of the span that is under way
-	value     T
+	list  *List[T]
+	spans [3]span
+	begun int // spans
+	at    int // the block that values are of
+	left  int // values of the span that is under way, besides values
+	// What is next, and what Next went to.
+	values []T
+	value  T
 }
 
 // Next goes on to the next value, and tells whether there is one.
 func (w *Walk[T]) Next() bool {
+	if len(w.values) == 0 && !w.refill() {
+		return false
+	}
+	w.value, w.values = w.values[0], w.values[1:]
+	return true
+}
+
+// refill takes the values of the next block, or of the next span, and tells whether there are any.
+func (w *Walk[T]) refill() bool {
+	place := 0
+	w.at++
 	for w.left <= 0 {
 		if w.begun == len(w.spans) {
 			return false
 		}
-		w.at, w.place, w.left = 0, w.spans[w.begun].from, w.spans[w.begun].count
+		w.at, place, w.left = 0, w.spans[w.begun].from, w.spans[w.begun].count
 		w.begun++
 	}
-	for w.place >= len(w.list.blocks[w.at].values) {
-		w.place -= len(w.list.blocks[w.at].values)
+	for place >= len(w.list.blocks[w.at].values) {
+		place -= len(w.list.blocks[w.at].values)
 		w.at++
 	}
-	w.value = w.list.blocks[w.at].values[w.place]
-	w.place++
-	w.left--
+	values := w.list.blocks[w.at].values[place:]
+	w.values = values[:min(w.left, len(values))]
+	w.left -= len(w.values)
 	return true
 }
 
