--- a/internal/frontdoor/loop.go
+++ b/internal/frontdoor/loop.go
@@ -85,6 +85,7 @@
 	listed   atomic.Bool // discovery has told a list since this process started
 
 	mu      sync.Mutex
+	closed  bool // no event is handled any more
 	gateway decider
 	calls   map[ct.RequestID]*call
 	events  []ct.Event  // not yet handled; an action may add to them
@@ -218,7 +219,16 @@
 func (l *Loop) post(ev ct.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.handle(ev)
+	if !l.closed {
+		l.handle(ev)
+	}
+}
+
+// Close ends the gateway's timers, so that a loop of which nothing is wanted any more costs nothing. It ends no request.
+func (l *Loop) Close() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.closed = true
 }
 
 // send starts an attempt. One for a request that has ended is not sent.
--- a/state.go
+++ b/state.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"cypresstrack/internal/budget"
+	"cypresstrack/internal/ranked"
 	"cypresstrack/internal/stats"
 )
 
@@ -109,7 +110,6 @@
 	started    bool
 	acts       []Action
 	backends   map[BackendID]*backend
-	order      []*backend    // by rank
 	listUntil  time.Duration // end of the lease of the list of backends
 	requests   map[RequestID]*request
 	bySeq      map[uint64]*request
@@ -120,6 +120,9 @@
 	population *stats.Population // the use of the customer of a request, by plan
 	price      excessPrice
 
+	order       ranked.List[*backend] // by rank
+	away, colds ranked.Bag[*backend]  // not ready; cold, and some that were
+
 	worths []float64 // of the last medianOver arrivals
 	median float64
 
@@ -133,7 +136,6 @@
 	tiers            [2]tier // low, high
 	splitAt          time.Duration
 	meanLat, bestLat float64 // running mean latency of answers, 1/mu; its slowly forgotten low
-	out              int
 	ended, bads      float64 // attempts ended, and badly, fading
 	aims, flow       float64 // sum of the aims of a second's answers; its mean
 	sends, sendRate  float64 // of this second; a second, on average
