--- a/cmd/pumicecroft/main.go
+++ b/cmd/herontiller/main.go
@@ -1,4 +1,4 @@
-// Command pumicecroft is one real front door. It is configured by the file that NODE_CONFIG names and serves
+// Command herontiller is one real front door. It is configured by the file that NODE_CONFIG names and serves
 // until SIGTERM. SIGHUP makes it read the file again and follow the discovery that it names then.
 package main
 
@@ -14,7 +14,7 @@
 	"runtime/debug"
 	"syscall"
 
-	"cypresstrack/internal/frontdoor"
+	"herontiller/internal/frontdoor"
 )
 
 func main() {
@@ -23,7 +23,7 @@
 	hup := make(chan os.Signal, 1) // one that waits stands for all that came since: the file is read after it
 	signal.Notify(hup, syscall.SIGHUP)
 	if err := run(ctx, os.Getenv("NODE_CONFIG"), hup); err != nil {
-		fmt.Fprintln(os.Stderr, "pumicecroft:", err)
+		fmt.Fprintln(os.Stderr, "herontiller:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/scalelab/main.go
+++ b/cmd/scalelab/main.go
@@ -15,7 +15,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"cypresstrack/internal/scalelab"
+	"herontiller/internal/scalelab"
 )
 
 // arguments are the command line's.
--- a/cmd/adapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter hosts gateways on the simulator's wire: events on standard input, actions on standard
+// Command simadapter hosts gateways on the simulator's wire: events on standard input, actions on standard
 // output. It only translates; the decisions are the library's.
 package main
 
@@ -10,13 +10,13 @@
 	"os"
 	"time"
 
-	ct "cypresstrack"
-	"cypresstrack/internal/wire"
+	"herontiller/internal/gateway"
+	"herontiller/internal/wire"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "adapter:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
@@ -24,9 +24,9 @@
 // run serves until the input ends. An input that ends inside a batch is an error.
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
-	doors := map[int]*ct.Gateway{}
+	doors := map[int]*gateway.Gateway{}
 	var reply bytes.Buffer
-	var actions []ct.Action
+	var actions []gateway.Action
 	var now time.Duration
 	inBatch := false
 	for number := 1; ; number++ {
@@ -61,7 +61,7 @@
 			}
 			reply.Reset()
 		case m.Start != nil:
-			g, err := ct.New(m.Start.Settings, m.Start.Seed, now)
+			g, err := gateway.New(m.Start.Settings, m.Start.Seed, now)
 			if err != nil {
 				return fmt.Errorf("line %d: %w", number, err)
 			}
--- a/ci_test.go
+++ b/internal/ci/ci_test.go
@@ -1,4 +1,5 @@
-package cypresstrack
+// Package ci tests the scripts of continuous integration.
+package ci
 
 import (
 	"os"
@@ -11,7 +12,7 @@
 // The script that runs the tests passes over those that KNOWN-RED.txt lists and over no others, and holds the list to
 // what it says. It is played on a small module of its own.
 func TestKnownRedTestsArePassedOver(t *testing.T) {
-	script, err := filepath.Abs(".ci/tests")
+	script, err := filepath.Abs("../../.ci/tests")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontdoor/attempts_test.go
+++ b/internal/frontdoor/attempts_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	ct "cypresstrack"
+	"herontiller/internal/gateway"
 )
 
 // The tests of this file make an attempt cross with the end of its request, every time.
@@ -38,9 +38,9 @@
 			io.WriteString(conn, d.text(t, "pay", "00000000000000a1"))
 			await(t, dialing, "the connection to come up")
 			leave(conn)
-			next[ct.ClientGone](t, g)
+			next[gateway.ClientGone](t, g)
 			goOn <- true
-			if out := next[ct.Outcome](t, g); out.Result != ct.NotSent || !out.Final {
+			if out := next[gateway.Outcome](t, g); out.Result != gateway.NotSent || !out.Final {
 				t.Errorf("%+v", out)
 			}
 			if len(got) > 0 {
@@ -91,17 +91,17 @@
 					<-fail
 					io.WriteString(conn, "HTTP/1.1 500 Sorry\r\nContent-Length: 0\r\n\r\n")
 				})
-				g := script(func(ev ct.Event) []ct.Action {
+				g := script(func(ev gateway.Event) []gateway.Action {
 					switch ev := ev.(type) {
-					case ct.Request:
+					case gateway.Request:
 						if when != "held" {
-							return []ct.Action{ct.Send{Request: ev.ID, Backend: 1}}
+							return []gateway.Action{gateway.Send{Request: ev.ID, Backend: 1}}
 						}
-					case ct.Timer:
-						return []ct.Action{ct.Send{Request: 0xa1, Backend: 1}}
-					case ct.Outcome:
-						if ev.Result == ct.AnsweredErr {
-							return []ct.Action{ct.Send{Request: ev.Request, Backend: 1}}
+					case gateway.Timer:
+						return []gateway.Action{gateway.Send{Request: 0xa1, Backend: 1}}
+					case gateway.Outcome:
+						if ev.Result == gateway.AnsweredErr {
+							return []gateway.Action{gateway.Send{Request: ev.Request, Backend: 1}}
 						}
 					}
 					return nil
@@ -113,7 +113,7 @@
 				conn := dialAll(t, d.addr, 1)[0]
 				near := <-ln.conns
 				io.WriteString(conn, d.text(t, "look", "00000000000000a1"))
-				next[ct.Request](t, g)
+				next[gateway.Request](t, g)
 				switch when {
 				case "dialling":
 					await(t, dialing, "the connection to come up")
@@ -130,25 +130,25 @@
 				}
 				switch when {
 				case "held":
-					d.loop.post(ct.Timer{})
+					d.loop.post(gateway.Timer{})
 					await(t, dialing, "the connection to come up")
 				case "between attempts":
 					close(fail)
-					if next[ct.Outcome](t, g).Result != ct.AnsweredErr {
+					if next[gateway.Outcome](t, g).Result != gateway.AnsweredErr {
 						t.Error("the first attempt did not fail")
 					}
 				}
 				goOn <- true
-				var out ct.Outcome
+				var out gateway.Outcome
 				for gone, over := false, false; !gone || !over; {
-					switch ev := next[ct.Event](t, g).(type) {
-					case ct.ClientGone:
+					switch ev := next[gateway.Event](t, g).(type) {
+					case gateway.ClientGone:
 						gone = true
-					case ct.Outcome:
+					case gateway.Outcome:
 						out, over = ev, true
 					}
 				}
-				if out.Result != ct.NotSent {
+				if out.Result != gateway.NotSent {
 					t.Errorf("%+v", out)
 				}
 				if len(began) > 0 {
@@ -163,16 +163,16 @@
 // request's repeat would find the backends' memory of the first attempt gone.
 func TestAnAttemptThatComesTooLateIsNotSent(t *testing.T) {
 	got := make(chan int, 1)
-	g := script(func(ev ct.Event) []ct.Action {
-		if r, ok := ev.(ct.Request); ok {
-			return []ct.Action{ct.Send{Request: r.ID, Backend: 1, Within: time.Nanosecond}}
+	g := script(func(ev gateway.Event) []gateway.Action {
+		if r, ok := ev.(gateway.Request); ok {
+			return []gateway.Action{gateway.Send{Request: r.ID, Backend: 1, Within: time.Nanosecond}}
 		}
 		return nil
 	})
 	d := openDoor(t, g, listen(t), raw(t, func(n int, _ net.Conn) { got <- n }))
 	conn := dialAll(t, d.addr, 1)[0]
 	io.WriteString(conn, d.text(t, "pay", "00000000000000a1"))
-	if out := next[ct.Outcome](t, g); out.Result != ct.NotSent || out.Final {
+	if out := next[gateway.Outcome](t, g); out.Result != gateway.NotSent || out.Final {
 		t.Errorf("%+v", out)
 	}
 	if len(got) > 0 {
@@ -218,13 +218,13 @@
 	ctx, cancel := context.WithTimeout(t.Context(), patient)
 	defer cancel()
 	unsent, unsend := context.WithCancel(ctx)
-	result := make(chan ct.Result, 1)
+	result := make(chan gateway.Result, 1)
 	go func() { result <- b.send(ctx, unsent, id, payMessage).result }()
 	await(t, writing, "the write")
 	unsend()
 	select {
 	case r := <-result:
-		if r != ct.NotSent {
+		if r != gateway.NotSent {
 			t.Errorf("it ended as %v", r)
 		}
 	case <-time.After(patient / 2):
@@ -243,15 +243,15 @@
 		read <- conn
 		<-t.Context().Done()
 	})
-	g := script(func(ev ct.Event) []ct.Action {
+	g := script(func(ev gateway.Event) []gateway.Action {
 		switch ev := ev.(type) {
-		case ct.Request:
-			return []ct.Action{ct.Send{Request: ev.ID, Backend: 1}}
-		case ct.Timer:
-			return []ct.Action{ct.Cancel{Request: 0xa1}}
-		case ct.Outcome:
+		case gateway.Request:
+			return []gateway.Action{gateway.Send{Request: ev.ID, Backend: 1}}
+		case gateway.Timer:
+			return []gateway.Action{gateway.Cancel{Request: 0xa1}}
+		case gateway.Outcome:
 			if !ev.Final && ev.Attempt == 0 {
-				return []ct.Action{ct.Send{Request: ev.Request, Backend: 1}}
+				return []gateway.Action{gateway.Send{Request: ev.Request, Backend: 1}}
 			}
 		}
 		return nil
@@ -260,7 +260,7 @@
 	conn := dialAll(t, d.addr, 1)[0]
 	io.WriteString(conn, d.text(t, "look", "00000000000000a1"))
 	first := <-read
-	d.loop.post(ct.Timer{})
+	d.loop.post(gateway.Timer{})
 	<-read // the next one's bytes have come
 	for end := time.Now().Add(patient); pending(first) != ended; {
 		if time.Now().After(end) {
--- a/internal/frontdoor/backends.go
+++ b/internal/frontdoor/backends.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	ct "cypresstrack"
+	"herontiller/internal/gateway"
 
 	"golang.org/x/time/rate"
 )
@@ -51,7 +51,7 @@
 
 // reply is how an attempt ended and, if it was answered, with what.
 type reply struct {
-	result      ct.Result
+	result      gateway.Result
 	contentType []string
 	body        []byte
 	hasUse      bool
@@ -61,9 +61,9 @@
 
 // backend is one entry of the list of backends. Its fields other than id are guarded by Backends.mu.
 type backend struct {
-	id    ct.BackendID
+	id    gateway.BackendID
 	born  int64
-	state ct.BackendState
+	state gateway.BackendState
 	place *place
 }
 
@@ -75,9 +75,9 @@
 	faultLog rate.Sometimes
 
 	mu     sync.Mutex
-	lastID ct.BackendID
+	lastID gateway.BackendID
 	byHost map[string]*backend // until it is gone
-	byID   map[ct.BackendID]*backend
+	byID   map[gateway.BackendID]*backend
 }
 
 // columnNames are the header's names for the settings' load figures.
@@ -89,7 +89,7 @@
 	dialer := &net.Dialer{Timeout: c.Conns.Connect, KeepAlive: -1}
 	b := &Backends{reports: len(c.Settings.LoadColumns) > 0, faultLog: rate.Sometimes{First: 10, Interval: time.Second},
 		pool:   newPool(dialer.DialContext, c.Limits.backendConns(), time.Duration(idleShare*float64(c.Conns.Idle))),
-		byHost: map[string]*backend{}, byID: map[ct.BackendID]*backend{}}
+		byHost: map[string]*backend{}, byID: map[gateway.BackendID]*backend{}}
 	for _, name := range c.Settings.LoadColumns {
 		if short, ok := columnNames[name]; ok {
 			name = short
@@ -100,19 +100,19 @@
 }
 
 // update applies news to the list and gives it in the gateway's form.
-func (b *Backends) update(list EndpointList, c clock) []ct.BackendInfo {
+func (b *Backends) update(list EndpointList, c clock) []gateway.BackendInfo {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	infos := make([]ct.BackendInfo, 0, len(list.Hosts))
+	infos := make([]gateway.BackendInfo, 0, len(list.Hosts))
 	if list.Whole {
 		for _, be := range b.byHost {
-			be.state = ct.Gone // unless listed
+			be.state = gateway.Gone // unless listed
 		}
 	}
 	for _, e := range list.Hosts {
 		be := b.byHost[e.Host]
 		if be == nil {
-			if states[e.Health] == ct.Gone {
+			if states[e.Health] == gateway.Gone {
 				continue // never named, or forgotten
 			}
 			b.lastID++
@@ -126,7 +126,7 @@
 			be.place = &place{addr: e.Dial}
 		}
 		be.born, be.state = e.BornMS, states[e.Health]
-		infos = append(infos, ct.BackendInfo{ID: be.id, State: be.state, Zone: e.Site, Kind: e.Class, Cell: e.Block,
+		infos = append(infos, gateway.BackendInfo{ID: be.id, State: be.state, Zone: e.Site, Kind: e.Class, Cell: e.Block,
 			Started: c.unixMilli(e.BornMS), Weight: e.Share})
 	}
 	if list.Whole {
@@ -143,7 +143,7 @@
 
 // forgetGone forgets a backend that is gone. If it comes back it is a new one, to the gateway as well.
 func (b *Backends) forgetGone(host string, be *backend) {
-	if be != nil && be.state == ct.Gone {
+	if be != nil && be.state == gateway.Gone {
 		b.pool.clear(be.place)
 		delete(b.byHost, host)
 		delete(b.byID, be.id)
@@ -151,10 +151,10 @@
 }
 
 // ready gives the place of a backend that may be sent something now, else nil.
-func (b *Backends) ready(id ct.BackendID) *place {
+func (b *Backends) ready(id gateway.BackendID) *place {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if be := b.byID[id]; be != nil && be.state == ct.Ready {
+	if be := b.byID[id]; be != nil && be.state == gateway.Ready {
 		return be.place
 	}
 	return nil
@@ -165,8 +165,8 @@
 
 // send makes one attempt and tells how it ended. It never sends twice. unsent is of ctx, and may end before it: then
 // what has not been written whole by then is not sent any more.
-func (b *Backends) send(ctx, unsent context.Context, id ct.BackendID, m *message) *reply {
-	r := &reply{result: ct.NotSent}
+func (b *Backends) send(ctx, unsent context.Context, id gateway.BackendID, m *message) *reply {
+	r := &reply{result: gateway.NotSent}
 	at := b.ready(id)
 	if at == nil || unsent.Err() != nil {
 		return r
@@ -174,10 +174,10 @@
 	c, err := b.write(ctx, unsent, id, at, m)
 	if err != nil {
 		if unsent.Err() == nil && !errors.Is(err, errStale) && !errors.Is(err, errFull) && !errors.Is(err, syscall.EMFILE) {
-			r.result = ct.NoConnection
+			r.result = gateway.NoConnection
 		}
 		if context.Cause(ctx) == context.Canceled {
-			r.result = ct.Cancelled
+			r.result = gateway.Cancelled
 		}
 		b.fault(at, err)
 		return r
@@ -193,15 +193,15 @@
 	case err == nil:
 		return r
 	case context.Cause(ctx) == context.Canceled:
-		r.result = ct.Cancelled
+		r.result = gateway.Cancelled
 		return r
 	case ctx.Err() != nil:
-		r.result = ct.TimedOut
+		r.result = gateway.TimedOut
 		return r
 	case errors.Is(err, errEnded):
-		r.result = ct.Broken
+		r.result = gateway.Broken
 	default: // spoilt: the backend is as well as before, and the request may have run
-		r.result = ct.Unknown
+		r.result = gateway.Unknown
 	}
 	b.fault(at, err)
 	return r
@@ -213,7 +213,7 @@
 
 // write sends a request whole, unless unsent ends before. An error means that its last byte was not written, so it has
 // never run. A kept connection that turns out to be dead before then is made up for by a new one.
-func (b *Backends) write(ctx, unsent context.Context, id ct.BackendID, at *place, m *message) (*kept, error) {
+func (b *Backends) write(ctx, unsent context.Context, id gateway.BackendID, at *place, m *message) (*kept, error) {
 	for fresh := false; ; fresh = true {
 		c, err := b.pool.get(unsent, at, fresh)
 		if err != nil {
@@ -306,12 +306,12 @@
 	}
 	switch {
 	case res.StatusCode == http.StatusOK:
-		r.result, r.body, r.contentType = ct.Answered, body, res.Header["Content-Type"]
+		r.result, r.body, r.contentType = gateway.Answered, body, res.Header["Content-Type"]
 	case (res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusGatewayTimeout) &&
 		res.Header.Get("Not-Started") == "1":
-		r.result = ct.Refused
+		r.result = gateway.Refused
 	default:
-		r.result = ct.AnsweredErr // it may have run
+		r.result = gateway.AnsweredErr // it may have run
 	}
 	if v, err := strconv.ParseFloat(res.Header.Get("X-RateLimit-Used"), 64); err == nil && v >= 0 && v <= maxUse {
 		r.hasUse, r.use = true, v
@@ -369,8 +369,8 @@
 }
 
 // probe asks a backend for its health, with its load if there are reports.
-func (b *Backends) probe(id ct.BackendID) ct.ProbeResult {
-	out := ct.ProbeResult{Backend: id}
+func (b *Backends) probe(id gateway.BackendID) gateway.ProbeResult {
+	out := gateway.ProbeResult{Backend: id}
 	m := &message{method: http.MethodGet, target: "/health", header: http.Header{}}
 	if b.reports {
 		m.target = "/status/load"
@@ -380,7 +380,7 @@
 	start := time.Now()
 	r := b.send(ctx, ctx, id, m)
 	out.Result, out.Took, out.Load = r.result, time.Since(start), r.load
-	if b.reports && r.result == ct.Answered {
+	if b.reports && r.result == gateway.Answered {
 		out.Load = b.parseLoad(strings.TrimSpace(string(r.body)))
 	}
 	return out
--- a/internal/frontdoor/backends_test.go
+++ b/internal/frontdoor/backends_test.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
-	ct "cypresstrack"
+	"herontiller/internal/gateway"
 )
 
-func attempts(t *testing.T, addr string) (*Backends, ct.BackendID) {
+func attempts(t *testing.T, addr string) (*Backends, gateway.BackendID) {
 	t.Helper()
 	b := NewBackends(config(t))
 	return b, b.update(ready(addr), clock{time.Now()})[0].ID
@@ -46,11 +46,11 @@
 		b, id := attempts(t, addr)
 		ctx, cancel := context.WithTimeout(t.Context(), patient)
 		defer cancel()
-		if r := b.send(ctx, ctx, id, m); r.result != ct.Answered {
+		if r := b.send(ctx, ctx, id, m); r.result != gateway.Answered {
 			t.Fatalf("%s: first attempt ended as %v", name, r.result)
 		}
 		time.Sleep(2 * restTime) // so that the second takes the same connection
-		if r := b.send(ctx, ctx, id, m); r.result != ct.Broken {
+		if r := b.send(ctx, ctx, id, m); r.result != gateway.Broken {
 			t.Errorf("%s: on a connection that broke the attempt ended as %v, want Broken", name, r.result)
 		}
 		if n := seen.Load(); n != 2 {
@@ -82,44 +82,44 @@
 	}
 	for name, c := range map[string]struct {
 		answer func(int, net.Conn)
-		want   ct.Result
+		want   gateway.Result
 	}{
-		"served":               {reply(200), ct.Answered},
-		"error":                {reply(500), ct.AnsweredErr},
-		"not found":            {reply(404), ct.AnsweredErr},
-		"turned away with 503": {reply(503, "Not-Started", "1"), ct.Refused},
-		"turned away with 504": {reply(504, "Not-Started", "1"), ct.Refused},
-		"503 without proof":    {reply(503), ct.AnsweredErr},
-		"504 that denies it":   {reply(504, "Not-Started", "0"), ct.AnsweredErr},
-		"500 never proves it":  {reply(500, "Not-Started", "1"), ct.AnsweredErr},
-		"connection ends":      {text(""), ct.Broken},
+		"served":               {reply(200), gateway.Answered},
+		"error":                {reply(500), gateway.AnsweredErr},
+		"not found":            {reply(404), gateway.AnsweredErr},
+		"turned away with 503": {reply(503, "Not-Started", "1"), gateway.Refused},
+		"turned away with 504": {reply(504, "Not-Started", "1"), gateway.Refused},
+		"503 without proof":    {reply(503), gateway.AnsweredErr},
+		"504 that denies it":   {reply(504, "Not-Started", "0"), gateway.AnsweredErr},
+		"500 never proves it":  {reply(500, "Not-Started", "1"), gateway.AnsweredErr},
+		"connection ends":      {text(""), gateway.Broken},
 		"connection reset": {func(_ int, conn net.Conn) {
 			conn.(*net.TCPConn).SetLinger(0)
 			conn.Close()
-		}, ct.Broken},
+		}, gateway.Broken},
 		// A spoilt answer may have run, and says nothing bad of the backend: as Broken it would be held back and
 		// taken for one that has restarted.
-		"body cut midway":     {text("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), ct.Unknown},
-		"head cut midway":     {text("HTTP/1.1 20"), ct.Unknown},
-		"not HTTP":            {text("\x00\x01garbage\r\n\r\n"), ct.Unknown},
-		"body never ends":     {open("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), ct.Unknown},
-		"head never ends":     {open("HTTP/1.1 200 OK\r\nA: b\r\n"), ct.Unknown},
-		"head over the limit": {open("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", maxHead)), ct.Unknown},
-		"3 GB announced":      {open("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok"), ct.Unknown},
-		"two lengths":         {open("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok"), ct.Unknown},
-		"negative length":     {open("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"), ct.Unknown},
-		"no length":           {text("HTTP/1.1 200 OK\r\n\r\nok"), ct.Unknown},
-		"bad chunks":          {open("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok"), ct.Unknown},
+		"body cut midway":     {text("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), gateway.Unknown},
+		"head cut midway":     {text("HTTP/1.1 20"), gateway.Unknown},
+		"not HTTP":            {text("\x00\x01garbage\r\n\r\n"), gateway.Unknown},
+		"body never ends":     {open("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), gateway.Unknown},
+		"head never ends":     {open("HTTP/1.1 200 OK\r\nA: b\r\n"), gateway.Unknown},
+		"head over the limit": {open("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", maxHead)), gateway.Unknown},
+		"3 GB announced":      {open("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok"), gateway.Unknown},
+		"two lengths":         {open("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok"), gateway.Unknown},
+		"negative length":     {open("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"), gateway.Unknown},
+		"no length":           {text("HTTP/1.1 200 OK\r\n\r\nok"), gateway.Unknown},
+		"bad chunks":          {open("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok"), gateway.Unknown},
 		"chunks over the limit": {open("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-			strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 3)), ct.Unknown},
-		"1xx without end":         {open(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", maxHead/20)), ct.Unknown},
-		"1xx ahead":               {open("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nA: b\r\n\r\n" + okReply), ct.Answered},
-		"switch":                  {open("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"), ct.Unknown},
-		"chunks":                  {open("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), ct.Answered},
-		"largest body":            {open("HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", maxBody)), ct.Answered},
-		"absurd use":              {reply(200, "X-RateLimit-Used", "1e300", "Server-Load", "queue=-5,qps=1"), ct.Answered},
-		"use below 0":             {reply(200, "X-RateLimit-Used", "-3", "Server-Load", "queue=NaN,qps=1"), ct.Answered},
-		"unreadable use and load": {reply(200, "X-RateLimit-Used", "lots", "Server-Load", "queue=x,qps="), ct.Answered},
+			strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 3)), gateway.Unknown},
+		"1xx without end":         {open(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", maxHead/20)), gateway.Unknown},
+		"1xx ahead":               {open("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nA: b\r\n\r\n" + okReply), gateway.Answered},
+		"switch":                  {open("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"), gateway.Unknown},
+		"chunks":                  {open("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), gateway.Answered},
+		"largest body":            {open("HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", maxBody)), gateway.Answered},
+		"absurd use":              {reply(200, "X-RateLimit-Used", "1e300", "Server-Load", "queue=-5,qps=1"), gateway.Answered},
+		"use below 0":             {reply(200, "X-RateLimit-Used", "-3", "Server-Load", "queue=NaN,qps=1"), gateway.Answered},
+		"unreadable use and load": {reply(200, "X-RateLimit-Used", "lots", "Server-Load", "queue=x,qps="), gateway.Answered},
 	} {
 		b, id := attempts(t, raw(t, c.answer))
 		ctx, cancel := context.WithTimeout(t.Context(), patient)
@@ -137,21 +137,21 @@
 	}
 	ln.Close() // nobody listens there now
 	b, id := attempts(t, ln.Addr().String())
-	if r := b.send(t.Context(), t.Context(), id, payMessage); r.result != ct.NoConnection {
+	if r := b.send(t.Context(), t.Context(), id, payMessage); r.result != gateway.NoConnection {
 		t.Errorf("refused connection: %v", r.result)
 	}
 	silent := func(_ int, _ net.Conn) { <-t.Context().Done() }
 	b, id = attempts(t, raw(t, silent))
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	if r := b.send(ctx, ctx, id, payMessage); r.result != ct.TimedOut {
+	if r := b.send(ctx, ctx, id, payMessage); r.result != gateway.TimedOut {
 		t.Errorf("no answer in time: %v", r.result)
 	}
 	read := make(chan bool, 1)
 	b, id = attempts(t, raw(t, func(int, net.Conn) { read <- true; <-t.Context().Done() }))
 	ctx, cancel = context.WithCancel(t.Context())
 	go func() { <-read; cancel() }()
-	if r := b.send(ctx, ctx, id, payMessage); r.result != ct.Cancelled {
+	if r := b.send(ctx, ctx, id, payMessage); r.result != gateway.Cancelled {
 		t.Errorf("called off: %v", r.result)
 	}
 }
@@ -201,7 +201,7 @@
 				goOn <- true
 			}()
 		}
-		if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != ct.NotSent {
+		if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.NotSent {
 			t.Errorf("%s: to a draining backend: %v, want NotSent", name, r.result)
 		}
 		select {
@@ -236,7 +236,7 @@
 	list := ready(ln.Addr().String())
 	id := b.update(list, clock{time.Now()})[0].ID
 	for range 5 {
-		if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != ct.Answered {
+		if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.Answered {
 			t.Fatal(r.result)
 		}
 		time.Sleep(2 * restTime)
@@ -266,19 +266,19 @@
 	b := NewBackends(c)
 	id := b.update(ready(addr), clock{time.Now()})[0].ID
 	ctx, cancel := context.WithCancel(t.Context())
-	first := make(chan ct.Result)
+	first := make(chan gateway.Result)
 	go func() { first <- b.send(ctx, ctx, id, lookMessage).result }()
 	await(t, read, "the first attempt")
-	if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != ct.NotSent {
+	if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.NotSent {
 		t.Errorf("one too many: %v, want NotSent", r.result)
 	}
 	cancel()
-	if r := <-first; r != ct.Cancelled {
+	if r := <-first; r != gateway.Cancelled {
 		t.Errorf("the first: %v", r)
 	}
 	addr = serve(t, func(http.ResponseWriter, *http.Request) {})
 	id = b.update(ready(addr), clock{time.Now()})[0].ID
-	if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != ct.Answered {
+	if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.Answered {
 		t.Errorf("with none out: %v", r.result)
 	}
 }
@@ -290,7 +290,7 @@
 		return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}
 	}
 	id := b.update(ready("127.0.0.1:1"), clock{time.Now()})[0].ID
-	if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != ct.NotSent {
+	if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.NotSent {
 		t.Errorf("%v, want NotSent", r.result)
 	}
 }
@@ -311,7 +311,7 @@
 		}
 		io.WriteString(w, "queue=3,qps=9\n")
 	}))
-	if p := b.probe(id); p.Result != ct.Answered || !slices.Equal(p.Load, []float64{3, 9}) {
+	if p := b.probe(id); p.Result != gateway.Answered || !slices.Equal(p.Load, []float64{3, 9}) {
 		t.Errorf("%+v", p)
 	}
 }
@@ -334,7 +334,7 @@
 			})
 			b, id := attempts(t, addr)
 			for range 3 {
-				if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != ct.Answered || string(r.body) != "ok" {
+				if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.Answered || string(r.body) != "ok" {
 					t.Errorf("%s: %v %q", name, r.result, r.body)
 				}
 				time.Sleep(2 * restTime)
@@ -370,7 +370,7 @@
 	await(t, done, "the first answer")
 	await(t, done, "the second answer")
 	time.Sleep(2 * restTime)
-	if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != ct.Unknown {
+	if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.Unknown {
 		t.Errorf("a spoilt answer ended as %v", r.result)
 	}
 	b.pool.mu.Lock()
@@ -386,12 +386,12 @@
 	conns := map[net.Conn]bool{}
 	addr := raw(t, func(_ int, conn net.Conn) { conns[conn] = true; io.WriteString(conn, okReply) })
 	b := NewBackends(config(t))
-	ids := map[ct.BackendID]bool{}
+	ids := map[gateway.BackendID]bool{}
 	for i := range 20 {
 		list := EndpointList{Hosts: []Endpoint{{Host: "s-" + string(rune('a'+i)), Dial: addr, Health: "Ready"}}}
 		id := b.update(list, clock{time.Now()})[0].ID
 		ids[id] = true
-		if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != ct.Answered {
+		if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.Answered {
 			t.Fatal(r.result)
 		}
 		if i > 0 { // the next one is there before the last is gone
--- a/internal/frontdoor/clients.go
+++ b/internal/frontdoor/clients.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	ct "cypresstrack"
+	"herontiller/internal/gateway"
 
 	"golang.org/x/time/rate"
 )
@@ -53,8 +53,8 @@
 // Clients is the side of the front door that clients see.
 type Clients struct {
 	loop     *Loop
-	settings ct.Settings
-	classes  map[string]ct.Class
+	settings gateway.Settings
+	classes  map[string]gateway.Class
 	plans    map[string]bool
 	started  time.Time
 	longest  time.Duration // of all deadlines
@@ -69,7 +69,7 @@
 func NewClients(config Config, loop *Loop) *Clients {
 	settings := config.Settings
 	c := &Clients{loop: loop, settings: settings, started: time.Now(), conns: newConnTable(config.Limits.clientConns()),
-		classes: map[string]ct.Class{}, plans: map[string]bool{},
+		classes: map[string]gateway.Class{}, plans: map[string]bool{},
 		badLog: rate.Sometimes{First: 10, Interval: time.Second}, lateLog: rate.Sometimes{First: 10, Interval: time.Second}}
 	for _, class := range settings.Classes {
 		c.classes[class.Name] = class
@@ -268,9 +268,9 @@
 }
 
 // parse reads all of a request but its body. What it lets through is safe to pass to the gateway.
-func (c *Clients) parse(r *http.Request) (req ct.Request, msg *message, timeout time.Duration, err error) {
-	bad := func(what, value string) (ct.Request, *message, time.Duration, error) {
-		return ct.Request{}, nil, 0, fmt.Errorf("%s: %.40q", what, value)
+func (c *Clients) parse(r *http.Request) (req gateway.Request, msg *message, timeout time.Duration, err error) {
+	bad := func(what, value string) (gateway.Request, *message, time.Duration, error) {
+		return gateway.Request{}, nil, 0, fmt.Errorf("%s: %.40q", what, value)
 	}
 	// A Content-Length next to a Transfer-Encoding is dropped unseen by the server (in HTTP/1.0 the latter is), and
 	// whoever goes by the other one finds a second request in the body. Our clients tell lengths and send HTTP/1.1.
@@ -302,7 +302,7 @@
 		return bad("path of another class", r.RequestURI)
 	}
 	method := http.MethodPost
-	if class.Effect == ct.Safe {
+	if class.Effect == gateway.Safe {
 		method = http.MethodGet
 	}
 	if r.Method != method {
@@ -311,7 +311,7 @@
 	if method == http.MethodGet && r.ContentLength != 0 {
 		return bad("a GET with a body", r.RequestURI)
 	}
-	if class.Effect == ct.Keyed && h["Idempotency-Key"] == "" {
+	if class.Effect == gateway.Keyed && h["Idempotency-Key"] == "" {
 		return bad("Idempotency-Key", "")
 	}
 	if !c.plans[h["X-Tier"]] {
@@ -326,7 +326,7 @@
 		return bad("Request-Timeout", h["Request-Timeout"])
 	}
 	timeout = time.Duration(min(seconds, class.Deadline.Seconds()) * float64(time.Second))
-	req = ct.Request{ID: ct.RequestID(id), Customer: ct.CustomerID(customer), Class: class.Name, Plan: h["X-Tier"]}
+	req = gateway.Request{ID: gateway.RequestID(id), Customer: gateway.CustomerID(customer), Class: class.Name, Plan: h["X-Tier"]}
 	if err := c.parseTerms(h["X-Call-Terms"], &req); err != nil {
 		return bad("X-Call-Terms", h["X-Call-Terms"])
 	}
@@ -342,7 +342,7 @@
 var errTerms = errors.New("terms that make no sense")
 
 // parseTerms reads "units=2,spread=3,first=1"; each must be there once, and in range.
-func (c *Clients) parseTerms(text string, req *ct.Request) error {
+func (c *Clients) parseTerms(text string, req *gateway.Request) error {
 	var units, spread, first bool
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/internal/frontdoor/clients_test.go
+++ b/internal/frontdoor/clients_test.go
@@ -10,14 +10,14 @@
 	"testing"
 	"time"
 
-	ct "cypresstrack"
+	"herontiller/internal/gateway"
 )
 
 // sendTo sends every request to a backend and does nothing else.
-func sendTo(id ct.BackendID) func(ct.Event) []ct.Action {
-	return func(ev ct.Event) []ct.Action {
-		if r, ok := ev.(ct.Request); ok {
-			return []ct.Action{ct.Send{Request: r.ID, Backend: id}}
+func sendTo(id gateway.BackendID) func(gateway.Event) []gateway.Action {
+	return func(ev gateway.Event) []gateway.Action {
+		if r, ok := ev.(gateway.Request); ok {
+			return []gateway.Action{gateway.Send{Request: r.ID, Backend: id}}
 		}
 		return nil
 	}
@@ -88,7 +88,7 @@
 	} {
 		g := script(sendTo(1))
 		d := startDoor(t, g, "127.0.0.1:1")
-		next[ct.BackendList](t, g)
+		next[gateway.BackendList](t, g)
 		if res, _ := do(t, d.ask(t, c.class, c.change)); res.StatusCode != c.status {
 			t.Errorf("%s: %s, want %d", name, res.Status, c.status)
 		}
@@ -100,9 +100,9 @@
 }
 
 func TestRefusalsSayWhenToComeBack(t *testing.T) {
-	d := startDoor(t, script(func(ev ct.Event) []ct.Action {
-		if r, ok := ev.(ct.Request); ok {
-			return []ct.Action{ct.Refuse{Request: r.ID, RetryAfter: 250 * time.Millisecond}, ct.Fail{Request: r.ID}}
+	d := startDoor(t, script(func(ev gateway.Event) []gateway.Action {
+		if r, ok := ev.(gateway.Request); ok {
+			return []gateway.Action{gateway.Refuse{Request: r.ID, RetryAfter: 250 * time.Millisecond}, gateway.Fail{Request: r.ID}}
 		}
 		return nil
 	}))
@@ -120,10 +120,10 @@
 	if res.StatusCode != http.StatusGatewayTimeout {
 		t.Errorf("%s, want the last moment's answer", res.Status)
 	}
-	if req := next[ct.Request](t, g); req.Patience <= 0 || req.Patience > 500*time.Millisecond-gatewayMargin {
+	if req := next[gateway.Request](t, g); req.Patience <= 0 || req.Patience > 500*time.Millisecond-gatewayMargin {
 		t.Errorf("the gateway was told of %v", req.Patience)
 	}
-	next[ct.ClientGone](t, g)
+	next[gateway.ClientGone](t, g)
 }
 
 // A client that waits for a short time only is not left without any of it, and is still answered before its end.
@@ -147,12 +147,12 @@
 		<-r.Context().Done()
 		closed <- true
 	})
-	g := script(func(ev ct.Event) []ct.Action {
+	g := script(func(ev gateway.Event) []gateway.Action {
 		switch ev := ev.(type) {
-		case ct.Request:
-			return []ct.Action{ct.Send{Request: ev.ID, Backend: 1}}
-		case ct.ClientGone:
-			return []ct.Action{ct.Cancel{Request: ev.Request, Attempt: 0}, ct.Send{Request: ev.Request, Backend: 1}}
+		case gateway.Request:
+			return []gateway.Action{gateway.Send{Request: ev.ID, Backend: 1}}
+		case gateway.ClientGone:
+			return []gateway.Action{gateway.Cancel{Request: ev.Request, Attempt: 0}, gateway.Send{Request: ev.Request, Backend: 1}}
 		}
 		return nil
 	})
@@ -166,11 +166,11 @@
 	}
 	await(t, read, "the attempt")
 	conn.Close()
-	next[ct.ClientGone](t, g)
-	if out := next[ct.Outcome](t, g); out.Attempt != 1 || out.Result != ct.NotSent || !out.Final {
+	next[gateway.ClientGone](t, g)
+	if out := next[gateway.Outcome](t, g); out.Attempt != 1 || out.Result != gateway.NotSent || !out.Final {
 		t.Errorf("a send after the end: %+v", out)
 	}
-	if out := next[ct.Outcome](t, g); out.Attempt != 0 || out.Result != ct.Cancelled || !out.Final {
+	if out := next[gateway.Outcome](t, g); out.Attempt != 0 || out.Result != gateway.Cancelled || !out.Final {
 		t.Errorf("the attempt ended as %+v", out)
 	}
 	await(t, closed, "the backend's connection to be closed")
@@ -189,11 +189,11 @@
 	if err := d.ask(t, "look", nil).Write(conn); err != nil {
 		t.Fatal(err)
 	}
-	next[ct.Request](t, g)
+	next[gateway.Request](t, g)
 	if err := conn.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	next[ct.ClientGone](t, g)
+	next[gateway.ClientGone](t, g)
 	if res, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil && res.StatusCode < 500 {
 		t.Errorf("it read %s", res.Status)
 	}
@@ -214,7 +214,7 @@
 		res.Body.Close()
 		first <- res.StatusCode
 	}()
-	next[ct.Request](t, g)
+	next[gateway.Request](t, g)
 	if res, _ := do(t, d.ask(t, "look", nil)); res.StatusCode != 400 {
 		t.Errorf("the second of one id: %s", res.Status)
 	}
--- a/internal/frontdoor/config.go
+++ b/internal/frontdoor/config.go
@@ -1,4 +1,4 @@
-// Package frontdoor puts one gateway of package cypresstrack on real sockets: it takes clients' requests over
+// Package frontdoor puts one gateway of package gateway on real sockets: it takes clients' requests over
 // HTTP, carries out the gateway's decisions towards the backends and follows discovery. It decides nothing
 // itself. config.go reads the configuration, loop.go owns the gateway, clients.go and backends.go are the two
 // sides of a request, conns.go bounds the connections of clients and pool.go those to backends, discovery.go keeps
@@ -12,8 +12,8 @@
 	"os"
 	"strconv"
 
-	ct "cypresstrack"
-	"cypresstrack/internal/wire"
+	"herontiller/internal/gateway"
+	"herontiller/internal/wire"
 )
 
 // Limits are what this front door may use.
@@ -38,7 +38,7 @@
 	Seed      uint64
 	Limits    Limits
 	Known     EndpointList // the backends as this front door last had them
-	Settings  ct.Settings
+	Settings  gateway.Settings
 	Conns     wire.Connections
 }
 
--- a/internal/frontdoor/conns_test.go
+++ b/internal/frontdoor/conns_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	ct "cypresstrack"
+	"herontiller/internal/gateway"
 )
 
 // dialAll opens connections to a door.
@@ -67,7 +67,7 @@
 	if err := d.ask(t, "look", nil).Write(asking); err != nil {
 		t.Fatal(err)
 	}
-	id := next[ct.Request](t, g).ID
+	id := next[gateway.Request](t, g).ID
 	dialAll(t, d.addr, 20)
 	clients.conns.mu.Lock()
 	if n := len(clients.conns.open); n > 6 { // one may just have come
@@ -75,7 +75,7 @@
 	}
 	clients.conns.mu.Unlock()
 	d.loop.mu.Lock()
-	d.loop.do(ct.Fail{Request: id})
+	d.loop.do(gateway.Fail{Request: id})
 	d.loop.mu.Unlock()
 	if res, err := http.ReadResponse(bufio.NewReader(asking), nil); err != nil || res.StatusCode != http.StatusBadGateway {
 		t.Errorf("the connection with a request open: %v, %v", res, err)
@@ -87,9 +87,9 @@
 func TestARequestInPiecesIsNoSilence(t *testing.T) {
 	for name, before := range map[string]int{"on a new connection": 0, "on a kept connection": 1} {
 		t.Run(name, func(t *testing.T) {
-			g := script(func(ev ct.Event) []ct.Action {
-				if r, ok := ev.(ct.Request); ok {
-					return []ct.Action{ct.Refuse{Request: r.ID}}
+			g := script(func(ev gateway.Event) []gateway.Action {
+				if r, ok := ev.(gateway.Request); ok {
+					return []gateway.Action{gateway.Refuse{Request: r.ID}}
 				}
 				return nil
 			})
@@ -174,7 +174,7 @@
 		"X-Api-Key: 00000000b4d65521\r\nRequest-Timeout: 20\r\nIdempotency-Key: k\r\nX-Call-Terms: units=1,spread=2,first=1\r\n"
 	g := script(nil)
 	d := startDoor(t, g)
-	next[ct.BackendList](t, g)
+	next[gateway.BackendList](t, g)
 	ends := make(chan string)
 	for name, text := range map[string]string{
 		"silent":       "",
@@ -206,7 +206,7 @@
 func TestTwoFramingsAreTurnedAway(t *testing.T) {
 	g := script(nil)
 	d := startDoor(t, g)
-	next[ct.BackendList](t, g)
+	next[gateway.BackendList](t, g)
 	for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
 		c := dialAll(t, d.addr, 1)[0]
 		io.WriteString(c, "POST /pay "+proto+"\r\nHost: h\r\nRequest-Id: 9b1f03aa5c7e2d41\r\nRequest-Class: pay\r\nX-Tier: basic\r\n"+
--- a/internal/frontdoor/crossing_test.go
+++ b/internal/frontdoor/crossing_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	ct "cypresstrack"
+	"herontiller/internal/gateway"
 )
 
 // The tests of this file make two events cross in the order that does harm, every time.
@@ -32,12 +32,12 @@
 					first, second = first+second, ""
 				}
 				io.WriteString(conn, first)
-				if id := next[ct.Request](t, g).ID; id != 0xa1 {
+				if id := next[gateway.Request](t, g).ID; id != 0xa1 {
 					t.Fatalf("the gateway heard of %x first", id)
 				}
 				io.WriteString(conn, second)
 				leave(conn)
-				if gone := next[ct.ClientGone](t, g); gone.Request != 0xa1 {
+				if gone := next[gateway.ClientGone](t, g); gone.Request != 0xa1 {
 					t.Errorf("%x is gone", gone.Request)
 				}
 				d.stop()
@@ -45,7 +45,7 @@
 					t.Error(err)
 				}
 				for len(g.heard) > 0 {
-					if r, ok := (<-g.heard).(ct.Request); ok {
+					if r, ok := (<-g.heard).(gateway.Request); ok {
 						t.Errorf("request %x was begun after its client had left", r.ID)
 					}
 				}
@@ -88,9 +88,9 @@
 	d := startDoor(t, g)
 	conn := dialAll(t, d.addr, 1)[0]
 	io.WriteString(conn, d.text(t, "look", "00000000000000a1"))
-	next[ct.Request](t, g)
+	next[gateway.Request](t, g)
 	go io.WriteString(conn, strings.Repeat("GET /look HTTP/1.1\r\n", 2*maxAhead/20))
-	next[ct.ClientGone](t, g)
+	next[gateway.ClientGone](t, g)
 	awaitEnd(t, conn)
 }
 
@@ -182,12 +182,12 @@
 // is served.
 func TestARequestOnAKeptConnectionIsServedAtTheEnd(t *testing.T) {
 	ln := &slowReads{TCPListener: listen(t), wait: make(chan bool), looked: make(chan bool)}
-	g := script(func(ev ct.Event) []ct.Action {
-		if r, ok := ev.(ct.Request); ok {
+	g := script(func(ev gateway.Event) []gateway.Action {
+		if r, ok := ev.(gateway.Request); ok {
 			if r.ID == 0xa1 {
 				close(ln.wait) // all reads after this request's own
 			}
-			return []ct.Action{ct.Refuse{Request: r.ID}}
+			return []gateway.Action{gateway.Refuse{Request: r.ID}}
 		}
 		return nil
 	})
--- a/internal/frontdoor/discovery.go
+++ b/internal/frontdoor/discovery.go
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	ct "cypresstrack"
+	"herontiller/internal/gateway"
 
 	"golang.org/x/time/rate"
 )
@@ -37,7 +37,7 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-var states = map[string]ct.BackendState{"Ready": ct.Ready, "Terminating": ct.Draining, "Gone": ct.Gone}
+var states = map[string]gateway.BackendState{"Ready": gateway.Ready, "Terminating": gateway.Draining, "Gone": gateway.Gone}
 
 // usable leaves out the entries that make no sense. One of them stands for all in the log.
 func usable(hosts []Endpoint) []Endpoint {
@@ -45,7 +45,7 @@
 	left := 0
 	hosts = slices.DeleteFunc(hosts, func(e Endpoint) bool {
 		state, ok := states[e.Health]
-		bad := !ok || e.Host == "" || e.Dial == "" && state != ct.Gone || e.BornMS < 0
+		bad := !ok || e.Host == "" || e.Dial == "" && state != gateway.Gone || e.BornMS < 0
 		if bad {
 			if left == 0 {
 				first = e
--- a/internal/frontdoor/discovery_test.go
+++ b/internal/frontdoor/discovery_test.go
@@ -13,7 +13,7 @@
 	"testing/synctest"
 	"time"
 
-	ct "cypresstrack"
+	"herontiller/internal/gateway"
 )
 
 // prompt is the pace of an agent that may take long over an ask.
@@ -89,8 +89,8 @@
 	l.Update(EndpointList{Whole: true, Hosts: []Endpoint{e("s-1", "127.0.0.1:7", "Ready", 0),
 		e("", "127.0.0.1:7", "Ready", 0), e("s-3", "127.0.0.1:7", "Unwell", 0), e("s-4", "", "Ready", 0),
 		e("s-2", "127.0.0.1:8", "Ready", hourAgo), e("s-5", "127.0.0.1:9", "Ready", 1)}})
-	first := next[ct.BackendList](t, g)
-	if first.Kind != ct.ListFull || len(first.Backends) != 3 {
+	first := next[gateway.BackendList](t, g)
+	if first.Kind != gateway.ListFull || len(first.Backends) != 3 {
 		t.Fatalf("%+v", first)
 	}
 	if s := first.Backends[1].Started; s < origin-time.Hour-time.Second || s > origin-time.Hour+time.Second {
@@ -101,13 +101,13 @@
 	}
 	l.Update(EndpointList{Hosts: []Endpoint{e("s-1", "127.0.0.1:17", "Gone", 0)}})
 	l.Update(EndpointList{Hosts: []Endpoint{e("s-1", "127.0.0.1:27", "Ready", 0)}})
-	if gone, back := next[ct.BackendList](t, g), next[ct.BackendList](t, g); gone.Kind != ct.ListChanges ||
-		gone.Backends[0].State != ct.Gone || back.Backends[0].ID == first.Backends[0].ID {
+	if gone, back := next[gateway.BackendList](t, g), next[gateway.BackendList](t, g); gone.Kind != gateway.ListChanges ||
+		gone.Backends[0].State != gateway.Gone || back.Backends[0].ID == first.Backends[0].ID {
 		t.Errorf("%+v, then %+v", gone, back)
 	}
 	two := first.Backends[1].ID
 	l.Update(EndpointList{Hosts: []Endpoint{e("s-2", "127.0.0.1:28", "Ready", hourAgo)}})
-	if again := next[ct.BackendList](t, g); again.Backends[0].ID != two || b.ready(two) == nil || b.ready(two).addr != "127.0.0.1:28" {
+	if again := next[gateway.BackendList](t, g); again.Backends[0].ID != two || b.ready(two) == nil || b.ready(two).addr != "127.0.0.1:28" {
 		t.Errorf("moved: %+v, ready at %+v", again, b.ready(two))
 	}
 	l.Update(EndpointList{Whole: true}) // what a whole list lacks is gone
@@ -348,9 +348,9 @@
 // given up meanwhile: the change comes in the moment in which the last watch has said its last word, and what the next
 // asks meet is scripted. So is where the door starts, or is moved by SIGHUP in the middle of an ask.
 func TestAChangeIsKnownInTime(t *testing.T) {
-	agent := Config{Settings: ct.Settings{FrontDoors: 350, DrainGrace: 500 * time.Millisecond}}
+	agent := Config{Settings: gateway.Settings{FrontDoors: 350, DrainGrace: 500 * time.Millisecond}}
 	service := func(doors int) Config {
-		return Config{Settings: ct.Settings{FrontDoors: doors, DrainGrace: 500 * time.Millisecond, AskForList: true}}
+		return Config{Settings: gateway.Settings{FrontDoors: doors, DrainGrace: 500 * time.Millisecond, AskForList: true}}
 	}
 	for _, c := range []struct {
 		name   string
@@ -443,7 +443,7 @@
 			return nil, r.Context().Err()
 		})
 		const grace = 400 * time.Millisecond
-		p := paceOf(Config{Settings: ct.Settings{FrontDoors: 300, DrainGrace: grace}})
+		p := paceOf(Config{Settings: gateway.Settings{FrontDoors: 300, DrainGrace: grace}})
 		newFollower(silent, p, "agent", 1, func(EndpointList) {}).keepWatching(ctx)
 		if len(asked) == 0 || asked[0] > 0 {
 			t.Fatalf("asked first at %v", asked)
--- a/internal/frontdoor/fleet_discovery_test.go
+++ b/internal/frontdoor/fleet_discovery_test.go
@@ -11,7 +11,7 @@
 	"testing/synctest"
 	"time"
 
-	ct "cypresstrack"
+	"herontiller/internal/gateway"
 )
 
 // busyDiscovery is a discovery service of fixed capacity: it serves one ask after another, lets each wait in turn for
@@ -113,7 +113,7 @@
 
 // follow starts a follower of a fleet of 300.
 func follow(d http.RoundTripper) *followed {
-	config := Config{Discovery: "discovery", Settings: ct.Settings{FrontDoors: 300, DrainGrace: 400 * time.Millisecond,
+	config := Config{Discovery: "discovery", Settings: gateway.Settings{FrontDoors: 300, DrainGrace: 400 * time.Millisecond,
 		AskForList: true}}
 	config.Conns.MustAsk = 10 * time.Second
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/frontdoor/frontdoor_test.go
+++ b/internal/frontdoor/frontdoor_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	ct "cypresstrack"
+	"herontiller/internal/gateway"
 )
 
 // patient is how long a test waits for something that must happen: it fails then, and only then.
@@ -57,7 +57,7 @@
 	done chan error
 }
 
-func startDoor(t testing.TB, gateway decider, addrs ...string) *door {
+func startDoor(t testing.TB, decisions decider, addrs ...string) *door {
 	t.Helper()
 	c := config(t)
 	backends := NewBackends(c)
@@ -65,8 +65,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if gateway != nil {
-		loop = newLoop(loop.clock, gateway, backends)
+	if decisions != nil {
+		loop = newLoop(loop.clock, decisions, backends)
 	}
 	loop.Update(ready(addrs...))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -172,11 +172,11 @@
 
 // scripted is a gateway that does as it is told and keeps what it hears.
 type scripted struct {
-	heard chan ct.Event
-	on    func(ct.Event) []ct.Action
+	heard chan gateway.Event
+	on    func(gateway.Event) []gateway.Action
 }
 
-func (s *scripted) Handle(_ time.Duration, ev ct.Event, as []ct.Action) []ct.Action {
+func (s *scripted) Handle(_ time.Duration, ev gateway.Event, as []gateway.Action) []gateway.Action {
 	s.heard <- ev
 	if s.on != nil {
 		as = append(as, s.on(ev)...)
@@ -184,12 +184,12 @@
 	return as
 }
 
-func script(on func(ct.Event) []ct.Action) *scripted {
-	return &scripted{heard: make(chan ct.Event, 100), on: on}
+func script(on func(gateway.Event) []gateway.Action) *scripted {
+	return &scripted{heard: make(chan gateway.Event, 100), on: on}
 }
 
 // next is the next event of a type.
-func next[E ct.Event](t testing.TB, s *scripted) E {
+func next[E gateway.Event](t testing.TB, s *scripted) E {
 	t.Helper()
 	timeout := time.After(patient)
 	for {
@@ -205,11 +205,11 @@
 }
 
 // openDoor starts a door on a listener of the test's.
-func openDoor(t *testing.T, gateway decider, ln net.Listener, addrs ...string) *door {
+func openDoor(t *testing.T, decisions decider, ln net.Listener, addrs ...string) *door {
 	t.Helper()
 	c := config(t)
 	backends := NewBackends(c)
-	loop := newLoop(clock{time.Now()}, gateway, backends)
+	loop := newLoop(clock{time.Now()}, decisions, backends)
 	loop.Update(ready(addrs...))
 	ctx, stop := context.WithCancel(context.Background())
 	d := &door{addr: ln.Addr().String(), loop: loop, stop: stop, done: make(chan error, 1)}
@@ -239,9 +239,9 @@
 }
 
 // refuseAll refuses every request at once.
-func refuseAll(ev ct.Event) []ct.Action {
-	if r, ok := ev.(ct.Request); ok {
-		return []ct.Action{ct.Refuse{Request: r.ID}}
+func refuseAll(ev gateway.Event) []gateway.Action {
+	if r, ok := ev.(gateway.Request); ok {
+		return []gateway.Action{gateway.Refuse{Request: r.ID}}
 	}
 	return nil
 }
--- a/internal/frontdoor/fuzz_test.go
+++ b/internal/frontdoor/fuzz_test.go
@@ -14,7 +14,7 @@
 	"strings"
 	"testing"
 
-	ct "cypresstrack"
+	"herontiller/internal/gateway"
 )
 
 // The fuzz targets take what comes from outside: whatever it is, it is refused or lies in range, and nothing breaks.
@@ -31,7 +31,7 @@
 	}
 	clients := NewClients(c, nil)
 	f.Fuzz(func(t *testing.T, text string) {
-		var r ct.Request
+		var r gateway.Request
 		if clients.parseTerms(text, &r) != nil {
 			return
 		}
@@ -81,9 +81,9 @@
 		c := &kept{Conn: near, place: &place{}}
 		c.bound.r = near
 		c.r = bufio.NewReaderSize(&c.bound, 2<<10)
-		r := &reply{result: ct.NotSent}
+		r := &reply{result: gateway.NotSent}
 		_, err := b.read(context.Background(), c, &message{method: http.MethodGet}, r)
-		if err != nil && r.result != ct.NotSent || len(r.body) > maxBody || r.hasUse && !(r.use >= 0 && r.use <= maxUse) {
+		if err != nil && r.result != gateway.NotSent || len(r.body) > maxBody || r.hasUse && !(r.use >= 0 && r.use <= maxUse) {
 			t.Errorf("%q was read as %+v, %v", text, r, err)
 		}
 	})
--- a/internal/frontdoor/lease_test.go
+++ b/internal/frontdoor/lease_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	ct "cypresstrack"
+	"herontiller/internal/gateway"
 )
 
 // Where the list has to be asked for, a new process is not ready, and sends nothing by the list of its configuration,
@@ -24,9 +24,9 @@
 		t.Error("ready without a list")
 	}
 	patience := time.Second
-	ask := func(id ct.RequestID) answer {
+	ask := func(id gateway.RequestID) answer {
 		msg := &message{method: http.MethodGet, target: "/look", host: "origin.svc", header: http.Header{}}
-		a, err := loop.Serve(t.Context(), ct.Request{ID: id, Customer: 1, Class: "look", Plan: "basic", Units: 1,
+		a, err := loop.Serve(t.Context(), gateway.Request{ID: id, Customer: 1, Class: "look", Plan: "basic", Units: 1,
 			Patience: patience, Spread: 2}, msg)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/frontdoor/lists_test.go
+++ b/internal/frontdoor/lists_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	ct "cypresstrack"
+	"herontiller/internal/gateway"
 )
 
 // plannedList is a list of as many backends as are planned for, as discovery writes it.
@@ -95,12 +95,12 @@
 func TestClosedLoopHearsNoTimer(t *testing.T) {
 	g := script(nil)
 	l := newLoop(clock{time.Now()}, g, NewBackends(config(t)))
-	l.post(ct.Timer{Token: 1})
-	if timer := next[ct.Timer](t, g); timer.Token != 1 {
+	l.post(gateway.Timer{Token: 1})
+	if timer := next[gateway.Timer](t, g); timer.Token != 1 {
 		t.Errorf("heard of timer %d", timer.Token)
 	}
 	l.Close()
-	l.post(ct.Timer{Token: 2})
+	l.post(gateway.Timer{Token: 2})
 	if n := len(g.heard); n != 0 {
 		t.Errorf("heard of %d more", n)
 	}
--- a/internal/frontdoor/loop.go
+++ b/internal/frontdoor/loop.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	ct "cypresstrack"
+	"herontiller/internal/gateway"
 )
 
 // origin is how far before this process's start the gateway's clock begins, so that a backend's start before
@@ -50,7 +50,7 @@
 // call is a request that was taken in. It stays in the table until it has its final answer and all of its
 // attempts have ended.
 type call struct {
-	id       ct.RequestID
+	id       gateway.RequestID
 	msg      *message
 	due      time.Time   // attempts end by then
 	final    chan answer // takes the final answer, if there is one before the caller leaves
@@ -74,7 +74,7 @@
 
 // decider is what the loop needs of the gateway.
 type decider interface {
-	Handle(now time.Duration, ev ct.Event, actions []ct.Action) []ct.Action
+	Handle(now time.Duration, ev gateway.Event, actions []gateway.Action) []gateway.Action
 }
 
 // Loop owns the gateway. Under one lock it passes on what happens, one event after another, and carries out
@@ -87,9 +87,9 @@
 	mu      sync.Mutex
 	closed  bool // no event is handled any more
 	gateway decider
-	calls   map[ct.RequestID]*call
-	events  []ct.Event  // not yet handled; an action may add to them
-	actions []ct.Action // kept for its memory
+	calls   map[gateway.RequestID]*call
+	events  []gateway.Event  // not yet handled; an action may add to them
+	actions []gateway.Action // kept for its memory
 }
 
 // leaseMargin is what may go by between discovery's writing of a word and the moment in which it is taken in here.
@@ -110,39 +110,39 @@
 	k := clock{time.Now()}
 	settings := c.Settings
 	settings.ListLease = listLease(c)
-	gateway, err := ct.New(settings, c.Seed, k.now())
+	decisions, err := gateway.New(settings, c.Seed, k.now())
 	if err != nil {
 		return nil, err
 	}
-	l := newLoop(k, gateway, backends)
-	l.update(c.Known, ct.ListSaved)
+	l := newLoop(k, decisions, backends)
+	l.update(c.Known, gateway.ListSaved)
 	return l, nil
 }
 
-func newLoop(k clock, gateway decider, backends *Backends) *Loop {
-	return &Loop{clock: k, gateway: gateway, backends: backends, calls: map[ct.RequestID]*call{}}
+func newLoop(k clock, decisions decider, backends *Backends) *Loop {
+	return &Loop{clock: k, gateway: decisions, backends: backends, calls: map[gateway.RequestID]*call{}}
 }
 
 // Update takes in news from discovery.
 func (l *Loop) Update(list EndpointList) {
-	kind := ct.ListChanges
+	kind := gateway.ListChanges
 	if list.Whole {
-		kind = ct.ListFull
+		kind = gateway.ListFull
 	}
 	l.update(list, kind)
 	l.listed.Store(true)
 }
 
-func (l *Loop) update(list EndpointList, kind ct.ListKind) {
+func (l *Loop) update(list EndpointList, kind gateway.ListKind) {
 	list.Hosts = usable(list.Hosts)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.handle(ct.BackendList{Kind: kind, Backends: l.backends.update(list, l.clock)})
+	l.handle(gateway.BackendList{Kind: kind, Backends: l.backends.update(list, l.clock)})
 }
 
 // Serve passes a request to the gateway and waits for its final answer. When ctx ends first, the request has
 // ended without one: the gateway is told that the client has gone, and the context's error comes back.
-func (l *Loop) Serve(ctx context.Context, req ct.Request, msg *message) (answer, error) {
+func (l *Loop) Serve(ctx context.Context, req gateway.Request, msg *message) (answer, error) {
 	c := &call{id: req.ID, msg: msg, due: time.Now().Add(req.Patience), final: make(chan answer, 1)}
 	if err := l.begin(c, req); err != nil {
 		return answer{}, err
@@ -158,7 +158,7 @@
 	}
 }
 
-func (l *Loop) begin(c *call, req ct.Request) error {
+func (l *Loop) begin(c *call, req gateway.Request) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.calls[c.id] != nil {
@@ -177,13 +177,13 @@
 		return false
 	}
 	c.end()
-	l.handle(ct.ClientGone{Request: c.id})
+	l.handle(gateway.ClientGone{Request: c.id})
 	l.forget(c)
 	return true
 }
 
 // handle passes one event to the gateway, and then those that its actions led to. It wants the lock.
-func (l *Loop) handle(ev ct.Event) {
+func (l *Loop) handle(ev gateway.Event) {
 	l.events = append(l.events, ev)
 	for i := 0; i < len(l.events); i++ {
 		l.actions = l.gateway.Handle(l.clock.now(), l.events[i], l.actions[:0])
@@ -194,29 +194,29 @@
 	l.events = l.events[:0]
 }
 
-func (l *Loop) do(a ct.Action) {
+func (l *Loop) do(a gateway.Action) {
 	switch a := a.(type) {
-	case ct.Send:
+	case gateway.Send:
 		l.send(a)
-	case ct.Refuse:
+	case gateway.Refuse:
 		l.finish(a.Request, answer{kind: refused, retryAfter: a.RetryAfter})
-	case ct.Fail:
+	case gateway.Fail:
 		l.finish(a.Request, answer{kind: failed})
-	case ct.Cancel:
+	case gateway.Cancel:
 		if c := l.calls[a.Request]; c != nil && a.Attempt < len(c.attempts) {
 			c.attempts[a.Attempt].cancel()
 		}
-	case ct.SetTimer:
-		time.AfterFunc(a.After, func() { l.post(ct.Timer{Token: a.Token}) })
-	case ct.Probe:
+	case gateway.SetTimer:
+		time.AfterFunc(a.After, func() { l.post(gateway.Timer{Token: a.Token}) })
+	case gateway.Probe:
 		go func() { l.post(l.backends.probe(a.Backend)) }()
-	case ct.Subscribe: // discovery is always followed
+	case gateway.Subscribe: // discovery is always followed
 	default:
 		slog.Error("the gateway asked for something unknown", "action", fmt.Sprintf("%T", a))
 	}
 }
 
-func (l *Loop) post(ev ct.Event) {
+func (l *Loop) post(ev gateway.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.closed {
@@ -232,7 +232,7 @@
 }
 
 // send starts an attempt. One for a request that has ended is not sent.
-func (l *Loop) send(a ct.Send) {
+func (l *Loop) send(a gateway.Send) {
 	c := l.calls[a.Request]
 	if c == nil {
 		slog.Error("the gateway sent a request that is not here", "request", a.Request)
@@ -241,7 +241,7 @@
 	n := len(c.attempts)
 	if c.ended {
 		c.attempts = append(c.attempts, attempt{unsend: func() {}, cancel: func() {}})
-		l.events = append(l.events, ct.Outcome{Request: c.id, Backend: a.Backend, Attempt: n, Result: ct.NotSent,
+		l.events = append(l.events, gateway.Outcome{Request: c.id, Backend: a.Backend, Attempt: n, Result: gateway.NotSent,
 			Final: true})
 		return
 	}
@@ -262,16 +262,16 @@
 	go func() {
 		defer cancel() // and unsent with it
 		r := l.backends.send(ctx, unsent, a.Backend, c.msg)
-		l.outcome(c, r, ct.Outcome{Request: c.id, Backend: a.Backend, Attempt: n, Result: r.result,
+		l.outcome(c, r, gateway.Outcome{Request: c.id, Backend: a.Backend, Attempt: n, Result: r.result,
 			Took: l.clock.now() - sent, HasUse: r.hasUse, Use: r.use, Load: r.load})
 	}()
 }
 
 // outcome ends an attempt. The first good answer of a request goes to its client.
-func (l *Loop) outcome(c *call, r *reply, ev ct.Outcome) {
+func (l *Loop) outcome(c *call, r *reply, ev gateway.Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r.result == ct.Answered {
+	if r.result == gateway.Answered {
 		l.finish(c.id, answer{kind: served, reply: r})
 	}
 	ev.Final = c.ended
@@ -281,7 +281,7 @@
 }
 
 // finish gives a request its final answer. Only the first one counts.
-func (l *Loop) finish(id ct.RequestID, a answer) {
+func (l *Loop) finish(id gateway.RequestID, a answer) {
 	c := l.calls[id]
 	if c == nil || c.ended {
 		return
--- a/api.go
+++ b/internal/gateway/api.go
@@ -1,4 +1,4 @@
-// Package cypresstrack makes the decisions of a gateway that holds every customer of a shared back end to
+// Package gateway makes the decisions of a gateway that holds every customer of a shared back end to
 // its plan: which requests go on, to which backend, when to try again, and when to refuse.
 //
 // An embedding front door creates one Gateway with New and passes it everything that happens, in order, by
@@ -7,7 +7,7 @@
 // Gateway is not safe for concurrent use. All times are durations on one clock that only moves forward and
 // whose origin does not matter. The decisions are in gateway.go, ceiling.go, health.go, staleness.go
 // and advice.go.
-package cypresstrack
+package gateway
 
 import (
 	"errors"
--- a/ceiling.go
+++ b/internal/gateway/ceiling.go
@@ -1,10 +1,10 @@
-package cypresstrack
+package gateway
 
 import (
 	"slices"
 	"time"
 
-	"cypresstrack/internal/shares"
+	"herontiller/internal/shares"
 )
 
 // The hard limits of a customer over all of its front doors: the ceiling's store and the attempts out. Both are split
--- a/excess.go
+++ b/internal/gateway/excess.go
@@ -1,9 +1,9 @@
-package cypresstrack
+package gateway
 
 import (
 	"math"
 
-	"cypresstrack/internal/budget"
+	"herontiller/internal/budget"
 )
 
 // What is sent on beyond quotas has a price, and is held to a budget. Each request is admitted with a probability that
--- a/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,4 +1,4 @@
-package cypresstrack
+package gateway
 
 // The decisions of a gateway, on the interface of api.go, in this order: constants, state, dispatch,
 // admission, re-split, N, quota store, choice, attempts, timers. Comments mark departures from the paper.
@@ -9,10 +9,10 @@
 	"slices"
 	"time"
 
-	"cypresstrack/internal/budget"
-	"cypresstrack/internal/reservation"
-	"cypresstrack/internal/shares"
-	"cypresstrack/internal/stats"
+	"herontiller/internal/budget"
+	"herontiller/internal/reservation"
+	"herontiller/internal/shares"
+	"herontiller/internal/stats"
 )
 
 const (
--- a/listing_test.go
+++ b/internal/gateway/listing_test.go
@@ -1,4 +1,4 @@
-package cypresstrack
+package gateway
 
 import (
 	"math/rand/v2"
--- a/property_test.go
+++ b/internal/gateway/property_test.go
@@ -1,9 +1,10 @@
-package cypresstrack
+package gateway
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"reflect"
+	"strings"
 	"testing"
 	"time"
 )
@@ -307,7 +308,7 @@
 			doors, least = 40, 60
 		}
 		for _, l := range runChecker(t, seed, doors, seed%2 == 0, 15000) {
-			if len(l) > 20 && l[2:19] == "cypresstrack.Send" {
+			if strings.HasPrefix(l[min(2, len(l)):], "gateway.Send") {
 				sent++
 			}
 		}
--- a/staleness.go
+++ b/internal/gateway/staleness.go
@@ -1,4 +1,4 @@
-package cypresstrack
+package gateway
 
 // Staleness of the list of backends, where it has to be asked for.
 //
--- a/state.go
+++ b/internal/gateway/state.go
@@ -1,12 +1,12 @@
-package cypresstrack
+package gateway
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"cypresstrack/internal/budget"
-	"cypresstrack/internal/ranked"
-	"cypresstrack/internal/stats"
+	"herontiller/internal/budget"
+	"herontiller/internal/ranked"
+	"herontiller/internal/stats"
 )
 
 // What a gateway keeps. The decisions and the settings of the policy are in the policy files.
--- a/usage.go
+++ b/internal/gateway/usage.go
@@ -1,11 +1,11 @@
-package cypresstrack
+package gateway
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"cypresstrack/internal/stats"
+	"herontiller/internal/stats"
 )
 
 // How much of their quotas customers use over all gateways. One of many gateways meets most customers once, so it keeps
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -5,7 +5,7 @@
 import (
 	"math"
 
-	"cypresstrack/internal/stats"
+	"herontiller/internal/stats"
 )
 
 // Load is what the slots are offered.
--- a/internal/scalelab/agent.go
+++ b/internal/scalelab/agent.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"cypresstrack/internal/frontdoor"
+	"herontiller/internal/frontdoor"
 )
 
 // Agent is a stand-in for discovery's agents on a real socket of the loopback interface. It answers the whole list and
--- a/internal/scalelab/fixture.go
+++ b/internal/scalelab/fixture.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	gateway "cypresstrack"
+	"herontiller/internal/gateway"
 )
 
 // Size is what one gateway is measured against.
--- a/internal/scalelab/hollow.go
+++ b/internal/scalelab/hollow.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	gateway "cypresstrack"
+	"herontiller/internal/gateway"
 )
 
 // This file and fixture.go are the only ones that know the decision module; the others use the names below.
--- a/internal/scalelab/program.go
+++ b/internal/scalelab/program.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"runtime"
 
-	"cypresstrack/internal/frontdoor"
+	"herontiller/internal/frontdoor"
 )
 
 // measureProgram measures what the real program spends around the decision module: the configuration file read, the
--- a/internal/scalelab/realconfig.go
+++ b/internal/scalelab/realconfig.go
@@ -5,7 +5,7 @@
 	"os"
 	"path/filepath"
 
-	"cypresstrack/internal/frontdoor"
+	"herontiller/internal/frontdoor"
 )
 
 // gatewaySockets is how many descriptors a real gateway of the lab may use.
--- a/internal/scalelab/sockets.go
+++ b/internal/scalelab/sockets.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"cypresstrack/internal/frontdoor"
+	"herontiller/internal/frontdoor"
 )
 
 // SocketResult is what a real gateway on real sockets does with a list of some length.
--- a/internal/scalelab/watches.go
+++ b/internal/scalelab/watches.go
@@ -9,7 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"cypresstrack/internal/frontdoor"
+	"herontiller/internal/frontdoor"
 )
 
 // WatchResult is how long it takes until a change is known at all of many gateways that run the real discovery code.
--- a/internal/scalelab/wire.go
+++ b/internal/scalelab/wire.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strings"
 
-	"cypresstrack/internal/frontdoor"
+	"herontiller/internal/frontdoor"
 )
 
 // endpoint is a backend as discovery writes it.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire translates between the lines of the simulator's wire and the types of package cypresstrack.
+// Package wire translates between the lines of the simulator's wire and the types of package gateway.
 package wire
 
 import (
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	ct "cypresstrack"
+	"herontiller/internal/gateway"
 )
 
 // MaxTimer is the longest timer that the wire takes; longer ones are shortened to it.
@@ -25,13 +25,13 @@
 	Instance int
 	Start    *Start
 	Stop     bool
-	Event    ct.Event
+	Event    gateway.Event
 }
 
 // Start begins an instance.
 type Start struct {
 	Seed     uint64
-	Settings ct.Settings
+	Settings gateway.Settings
 }
 
 type line struct {
@@ -128,20 +128,20 @@
 	} `json:"stats"`
 }
 
-var results = map[string]ct.Result{
-	"delivered": ct.Answered, "app_error": ct.AnsweredErr, "shed": ct.Refused, "expired": ct.TimedOut,
-	"dial_failed": ct.NoConnection, "dropped": ct.Broken, "revoked": ct.Cancelled, "unused": ct.NotSent,
+var results = map[string]gateway.Result{
+	"delivered": gateway.Answered, "app_error": gateway.AnsweredErr, "shed": gateway.Refused, "expired": gateway.TimedOut,
+	"dial_failed": gateway.NoConnection, "dropped": gateway.Broken, "revoked": gateway.Cancelled, "unused": gateway.NotSent,
 }
 
-var states = map[string]ct.BackendState{"healthy": ct.Ready, "cordoned": ct.Draining, "deregistered": ct.Gone}
+var states = map[string]gateway.BackendState{"healthy": gateway.Ready, "cordoned": gateway.Draining, "deregistered": gateway.Gone}
 
-var modes = map[string]ct.ListKind{
-	"INCREMENTAL": ct.ListChanges, "FULL": ct.ListFull, "SAVED": ct.ListSaved, "FAILED": ct.ListFailed,
+var modes = map[string]gateway.ListKind{
+	"INCREMENTAL": gateway.ListChanges, "FULL": gateway.ListFull, "SAVED": gateway.ListSaved, "FAILED": gateway.ListFailed,
 }
 
-var effects = map[string]ct.Effect{"": ct.Safe, "retryable": ct.Safe, "dedup": ct.Keyed, "fragile": ct.Unsafe}
+var effects = map[string]gateway.Effect{"": gateway.Safe, "retryable": gateway.Safe, "dedup": gateway.Keyed, "fragile": gateway.Unsafe}
 
-var groups = map[string]ct.Group{"": ct.GroupAll, "all": ct.GroupAll, "zone": ct.GroupZone, "cell": ct.GroupCell}
+var groups = map[string]gateway.Group{"": gateway.GroupAll, "all": gateway.GroupAll, "zone": gateway.GroupZone, "cell": gateway.GroupCell}
 
 func us(v int64) time.Duration {
 	if v > math.MaxInt64/1000 {
@@ -190,55 +190,55 @@
 	case "closed_attempt":
 		m.Event, err = decodeOutcome(l)
 	case "established":
-		var id ct.RequestID
+		var id gateway.RequestID
 		id, err = requestID(l)
-		m.Event = ct.AnswerStarted{Request: id, Attempt: l.Try}
+		m.Event = gateway.AnswerStarted{Request: id, Attempt: l.Try}
 	case "client_left":
-		var id ct.RequestID
+		var id gateway.RequestID
 		id, err = requestID(l)
-		m.Event = ct.ClientGone{Request: id}
+		m.Event = gateway.ClientGone{Request: id}
 	case "sampled":
 		if l.Backend == nil {
 			return m, errors.New("sampled without a backend")
 		}
-		m.Event = ct.ProbeResult{Backend: ct.BackendID(*l.Backend), Result: result(l.Code), Took: us(l.Took),
+		m.Event = gateway.ProbeResult{Backend: gateway.BackendID(*l.Backend), Result: result(l.Code), Took: us(l.Took),
 			Load: l.Load}
 	case "reminder":
 		if l.Ref == nil {
 			return m, errors.New("reminder without a ref")
 		}
-		m.Event = ct.Timer{Token: *l.Ref}
+		m.Event = gateway.Timer{Token: *l.Ref}
 	}
 	return m, err
 }
 
-func result(code string) ct.Result {
+func result(code string) gateway.Result {
 	if r, ok := results[code]; ok {
 		return r
 	}
-	return ct.Unknown
+	return gateway.Unknown
 }
 
-func requestID(l line) (ct.RequestID, error) {
+func requestID(l line) (gateway.RequestID, error) {
 	if l.Txn == nil || len(*l.Txn) != 16 {
 		return 0, fmt.Errorf("%s without a request id of 16 hex digits", l.M)
 	}
 	v, err := strconv.ParseUint(*l.Txn, 16, 64)
-	if err != nil || formatID(ct.RequestID(v)) != *l.Txn {
+	if err != nil || formatID(gateway.RequestID(v)) != *l.Txn {
 		return 0, fmt.Errorf("%s with the request id %q", l.M, *l.Txn)
 	}
-	return ct.RequestID(v), nil
+	return gateway.RequestID(v), nil
 }
 
-func formatID(id ct.RequestID) string { return fmt.Sprintf("%016x", uint64(id)) }
+func formatID(id gateway.RequestID) string { return fmt.Sprintf("%016x", uint64(id)) }
 
-func decodeRequest(l line) (ct.Event, error) {
+func decodeRequest(l line) (gateway.Event, error) {
 	id, err := requestID(l)
-	return ct.Request{ID: id, Customer: ct.CustomerID(l.Caller), Class: l.Grade, Plan: l.Terms,
+	return gateway.Request{ID: id, Customer: gateway.CustomerID(l.Caller), Class: l.Grade, Plan: l.Terms,
 		Units: l.Units, Patience: us(l.Grace), FirstDoor: int(l.First), Spread: int(l.Spread)}, err
 }
 
-func decodeOutcome(l line) (ct.Event, error) {
+func decodeOutcome(l line) (gateway.Event, error) {
 	id, err := requestID(l)
 	if err == nil && l.Backend == nil {
 		err = errors.New("an outcome without a backend")
@@ -246,23 +246,23 @@
 	if err != nil {
 		return nil, err
 	}
-	return ct.Outcome{Request: id, Backend: ct.BackendID(*l.Backend), Attempt: l.Try, Result: result(l.Code),
+	return gateway.Outcome{Request: id, Backend: gateway.BackendID(*l.Backend), Attempt: l.Try, Result: result(l.Code),
 		Took: us(l.Took), Final: l.Last, HasUse: l.Use > 0, Use: float64(l.Use - 1), Units: l.Settled,
 		Load: l.Load}, nil
 }
 
-func decodeList(l line) (ct.Event, error) {
+func decodeList(l line) (gateway.Event, error) {
 	kind, ok := modes[l.Mode]
 	if !ok {
 		return nil, fmt.Errorf("a list of unknown kind %q", l.Mode)
 	}
-	out := ct.BackendList{Kind: kind}
+	out := gateway.BackendList{Kind: kind}
 	for _, e := range l.Elements {
 		state, ok := states[e.Health]
 		if !ok || e.Backend == nil {
 			return nil, fmt.Errorf("a list entry without a backend or with the state %q", e.Health)
 		}
-		out.Backends = append(out.Backends, ct.BackendInfo{ID: ct.BackendID(*e.Backend), State: state,
+		out.Backends = append(out.Backends, gateway.BackendInfo{ID: gateway.BackendID(*e.Backend), State: state,
 			Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Started: us(e.Boot), Weight: e.Power})
 	}
 	return out, nil
@@ -291,12 +291,12 @@
 
 // DecodeSettings reads the settings of an instance. They have the same form on the wire and in the
 // configuration of a real front door.
-func DecodeSettings(text []byte) (ct.Settings, Connections, error) {
+func DecodeSettings(text []byte) (gateway.Settings, Connections, error) {
 	var p params
 	if err := json.Unmarshal(text, &p); err != nil {
-		return ct.Settings{}, Connections{}, fmt.Errorf("settings: %w", err)
+		return gateway.Settings{}, Connections{}, fmt.Errorf("settings: %w", err)
 	}
-	s := ct.Settings{FrontDoors: p.Balancers, Me: p.Me, Zone: p.Zone, MeterPeriod: us(p.Family.Meter),
+	s := gateway.Settings{FrontDoors: p.Balancers, Me: p.Me, Zone: p.Zone, MeterPeriod: us(p.Family.Meter),
 		LargestUnits: p.Family.Largest, MaxAttempts: p.Limits.Attempts, ParallelTries: p.Limits.Parallel,
 		CanCancel: p.Limits.Cancel, CanProbe: p.Limits.Probes, AskForList: p.Discovery == "on_request",
 		LoadColumns: p.Stats.Columns, LoadInAnswers: p.Stats.How == "answers", AnswerGrace: us(p.Duties.Grace),
@@ -309,15 +309,15 @@
 		effect, ok := effects[c.Effect]
 		group, ok2 := groups[c.Group]
 		if !ok || !ok2 {
-			return ct.Settings{}, Connections{}, fmt.Errorf("class %q has the effect %q and the group %q",
+			return gateway.Settings{}, Connections{}, fmt.Errorf("class %q has the effect %q and the group %q",
 				c.Name, c.Effect, c.Group)
 		}
-		s.Classes = append(s.Classes, ct.Class{Name: c.Name, Effect: effect, Group: group,
+		s.Classes = append(s.Classes, gateway.Class{Name: c.Name, Effect: effect, Group: group,
 			KeyWindow: us(c.KeyTTL), Aim: us(c.Aim), Deadline: us(c.Deadline), Worth: c.Gain,
 			LateWorth: c.LateValue, Stream: c.Stream})
 	}
 	for _, t := range p.Tariffs {
-		s.Plans = append(s.Plans, ct.Plan{Name: t.Name, Rate: t.Rate, Burst: t.Burst, Open: t.Parallel,
+		s.Plans = append(s.Plans, gateway.Plan{Name: t.Name, Rate: t.Rate, Burst: t.Burst, Open: t.Parallel,
 			Price: t.Value, OverWorth: t.OverWorth, OverCost: t.OverCost, CeilingRate: t.CeilRate,
 			CeilingBurst: t.CeilDepth, CeilingSlack: t.CeilSlack})
 	}
@@ -326,24 +326,24 @@
 }
 
 // AppendAction writes one action of an instance as a line.
-func AppendAction(b *bytes.Buffer, door int, a ct.Action) {
+func AppendAction(b *bytes.Buffer, door int, a gateway.Action) {
 	switch a := a.(type) {
-	case ct.Send:
+	case gateway.Send:
 		fmt.Fprintf(b, `{"m":"assign","door":%d,"txn":"%s","max_wait_us":%d,"backend":%d}`, door,
 			formatID(a.Request), a.Timeout.Microseconds(), a.Backend)
-	case ct.Refuse:
+	case gateway.Refuse:
 		fmt.Fprintf(b, `{"m":"reject","door":%d,"txn":"%s","not_before_for_us":%d}`, door,
 			formatID(a.Request), a.RetryAfter.Microseconds())
-	case ct.Fail:
+	case gateway.Fail:
 		fmt.Fprintf(b, `{"m":"surrender","door":%d,"txn":"%s"}`, door, formatID(a.Request))
-	case ct.Cancel:
+	case gateway.Cancel:
 		fmt.Fprintf(b, `{"m":"recall","door":%d,"txn":"%s","try":%d}`, door, formatID(a.Request), a.Attempt)
-	case ct.SetTimer:
+	case gateway.SetTimer:
 		fmt.Fprintf(b, `{"m":"timer","door":%d,"from_now_us":%d,"ref":%d}`, door,
 			min(max(a.After, 0), MaxTimer).Microseconds(), a.Token)
-	case ct.Probe:
+	case gateway.Probe:
 		fmt.Fprintf(b, `{"m":"poll","door":%d,"backend":%d}`, door, a.Backend)
-	case ct.Subscribe:
+	case gateway.Subscribe:
 		fmt.Fprintf(b, `{"m":"follow","door":%d,"want":true}`, door)
 	default:
 		return
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	ct "cypresstrack"
+	"herontiller/internal/gateway"
 )
 
 func TestDecodeEvents(t *testing.T) {
@@ -15,14 +15,14 @@
 		`{"m":"eob"}`:                        {End: true},
 		`{"m":"detach","door":2}`:            {Instance: 2, Stop: true},
 		`{"m":"call","door":3,"txn":"d4b7b4c55d3a91c4","opts":1,"spread":3,"terms":"kis","grace_us":240000,` +
-			`"cost_units":2,"first_door":1,"grade":"c","caller":7,"new":[1]}`: {Instance: 3, Event: ct.Request{
+			`"cost_units":2,"first_door":1,"grade":"c","caller":7,"new":[1]}`: {Instance: 3, Event: gateway.Request{
 			ID: 0xd4b7b4c55d3a91c4, Customer: 7, Class: "c", Plan: "kis", Units: 2, Patience: 240 * time.Millisecond,
 			FirstDoor: 1, Spread: 3}},
-		`{"m":"reminder","door":3,"ref":77}`: {Instance: 3, Event: ct.Timer{Token: 77}},
+		`{"m":"reminder","door":3,"ref":77}`: {Instance: 3, Event: gateway.Timer{Token: 77}},
 		`{"m":"client_left","door":5,"txn":"00000000000000ff"}`: {Instance: 5,
-			Event: ct.ClientGone{Request: 255}},
+			Event: gateway.ClientGone{Request: 255}},
 		`{"m":"established","door":5,"txn":"00000000000000ff","backend":1,"try":2}`: {Instance: 5,
-			Event: ct.AnswerStarted{Request: 255, Attempt: 2}},
+			Event: gateway.AnswerStarted{Request: 255, Attempt: 2}},
 		`{"m":"tally_back","door":1,"counter_key":5,"rc":"delivered"}`: {Instance: 1},
 		`{"m":"something_new","door":1}`:                               {Instance: 1},
 	} {
@@ -36,13 +36,13 @@
 func TestDecodeOutcome(t *testing.T) {
 	m, err := Decode([]byte(`{"m":"closed_attempt","door":3,"txn":"d4b7b4c55d3a91c4","duration_us":18500,"try":1,` +
 		`"seen_use":87,"backend":51530247,"rc":"delivered","last":true,"settled":3,"health_info":[0.62,140]}`))
-	o, ok := m.Event.(ct.Outcome)
-	if err != nil || !ok || o.Result != ct.Answered || !o.HasUse || o.Use != 86 || !o.Final || o.Attempt != 1 ||
+	o, ok := m.Event.(gateway.Outcome)
+	if err != nil || !ok || o.Result != gateway.Answered || !o.HasUse || o.Use != 86 || !o.Final || o.Attempt != 1 ||
 		len(o.Load) != 2 || o.Backend != 51530247 || o.Took != 18500*time.Microsecond {
 		t.Errorf("%+v %v", m, err)
 	}
 	m, err = Decode([]byte(`{"m":"closed_attempt","door":3,"txn":"d4b7b4c55d3a91c4","backend":1,"rc":"odd"}`))
-	if o := m.Event.(ct.Outcome); err != nil || o.Result != ct.Unknown || o.HasUse {
+	if o := m.Event.(gateway.Outcome); err != nil || o.Result != gateway.Unknown || o.HasUse {
 		t.Errorf("an unknown outcome code: %+v %v", o, err)
 	}
 }
@@ -50,9 +50,9 @@
 func TestDecodeList(t *testing.T) {
 	m, err := Decode([]byte(`{"m":"targets","door":3,"mode":"SAVED","elements":[{"health":"healthy","az":"a",` +
 		`"cell":4,"backend":5,"boot_time_us":6},{"health":"deregistered","backend":6}]}`))
-	l, ok := m.Event.(ct.BackendList)
-	if err != nil || !ok || l.Kind != ct.ListSaved || len(l.Backends) != 2 || l.Backends[1].State != ct.Gone ||
-		l.Backends[0] != (ct.BackendInfo{ID: 5, Zone: "a", Cell: 4, Started: 6 * time.Microsecond}) {
+	l, ok := m.Event.(gateway.BackendList)
+	if err != nil || !ok || l.Kind != gateway.ListSaved || len(l.Backends) != 2 || l.Backends[1].State != gateway.Gone ||
+		l.Backends[0] != (gateway.BackendInfo{ID: 5, Zone: "a", Cell: 4, Started: 6 * time.Microsecond}) {
 		t.Errorf("%+v %v", m, err)
 	}
 }
@@ -75,10 +75,10 @@
 
 func TestActions(t *testing.T) {
 	var b bytes.Buffer
-	for _, a := range []ct.Action{
-		ct.Send{Request: 255, Backend: 9, Timeout: time.Millisecond}, ct.Refuse{Request: 1, RetryAfter: time.Second},
-		ct.Fail{Request: 2}, ct.Cancel{Request: 3, Attempt: 1}, ct.SetTimer{After: 100 * time.Hour, Token: 4},
-		ct.Probe{Backend: 5}, ct.Subscribe{},
+	for _, a := range []gateway.Action{
+		gateway.Send{Request: 255, Backend: 9, Timeout: time.Millisecond}, gateway.Refuse{Request: 1, RetryAfter: time.Second},
+		gateway.Fail{Request: 2}, gateway.Cancel{Request: 3, Attempt: 1}, gateway.SetTimer{After: 100 * time.Hour, Token: 4},
+		gateway.Probe{Backend: 5}, gateway.Subscribe{},
 	} {
 		AppendAction(&b, 6, a)
 	}
@@ -108,7 +108,7 @@
 			t.Error("an error that says nothing")
 		}
 		if err == nil && m.Start != nil {
-			_, _ = ct.New(m.Start.Settings, m.Start.Seed, 0) // it may refuse, it must not panic
+			_, _ = gateway.New(m.Start.Settings, m.Start.Seed, 0) // it may refuse, it must not panic
 		}
 	})
 }
