--- a/internal/scalelab/capacity.go
+++ b/internal/scalelab/capacity.go
@@ -157,7 +157,7 @@
 	return rows
 }
 
-// listBound is the real discovery code's bound on a list.
+// listBound is the bound on a list's bytes that the gateway had at first: what a list that is not taken is compared with.
 const listBound = 4 << 20
 
 func (r *Report) fleetRows() (rows []CapacityRow) {
