--- a/internal/frontdoor/discovery_test.go
+++ b/internal/frontdoor/discovery_test.go
@@ -7,7 +7,6 @@
 	"io"
 	"net/http"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
@@ -169,94 +168,6 @@
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// One hiccup ends the watches of all doors at once. Discovery must be able to answer them all soon, though it takes
-// 70 ms over each ask and refuses those at once that would have to wait for longer than 2 s.
-func TestDoorsComeBackToDiscoveryOneByOne(t *testing.T) {
-	const doors, each, patience, length = 80, 70 * time.Millisecond, 2 * time.Second, 15 * time.Second
-	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := context.WithTimeout(t.Context(), length)
-		defer stop()
-		start := time.Now()
-		var mu sync.Mutex
-		free := start.Add(patience) // the first asks have just come, all together, and failed
-		back, last, asks := 0, time.Duration(0), 0
-		busy := func(first bool) roundTrip {
-			return func(r *http.Request) (*http.Response, error) {
-				answer := &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}
-				if first {
-					first = false
-					return answer, nil
-				}
-				mu.Lock()
-				asks++
-				turn := time.Unix(0, max(free.UnixNano(), time.Now().UnixNano())).Add(each)
-				wait := time.Until(turn)
-				if wait > patience {
-					mu.Unlock()
-					return answer, nil
-				}
-				free = turn
-				mu.Unlock()
-				sleep(r.Context(), wait)
-				mu.Lock()
-				back, last = back+1, time.Since(start)
-				mu.Unlock()
-				<-ctx.Done() // the watch lasts
-				return nil, ctx.Err()
-			}
-		}
-		var all sync.WaitGroup
-		for range doors {
-			all.Go(func() {
-				newFollower(busy(true), pace{shared: true}, "discovery", 1, func(EndpointList) {}).keepWatching(ctx)
-			})
-		}
-		all.Wait()
-		t.Logf("%d doors back after %v and %d asks", back, last, asks)
-		if back < doors {
-			t.Errorf("%d of %d doors were back after %v and %d asks", back, doors, length, asks)
-		}
-	})
-}
-
-// Pauses are drawn from all of what a failure calls for, and never from more.
-func TestPausesStayInBounds(t *testing.T) {
-	const grace, mustAsk = time.Second, 800 * time.Millisecond
-	service := pace{shared: true, grace: grace}
-	strict := pace{shared: true, grace: grace, mustAsk: mustAsk}
-	broken, full := io.ErrUnexpectedEOF, &refusedError{after: 4 * time.Millisecond}
-	late := &refusedError{after: askWait}
-	for _, c := range []struct {
-		name    string
-		pace    pace
-		failure failure
-		most    time.Duration
-	}{
-		{"a broken watch", service, failure{err: broken, inRow: 1, listed: true, slack: 4 * time.Second}, retryLeast},
-		{"four breaks", service, failure{err: broken, inRow: 4, listed: true}, 8 * retryLeast},
-		{"many breaks", service, failure{err: broken, inRow: 1 << 40, listed: true}, retryMost},
-		{"many breaks, and no list", service, failure{err: broken, inRow: 1 << 40}, retryNew},
-		{"refused with time left", service, failure{err: full, inRow: 2, listed: true, slack: 2 * time.Second}, 2 * time.Second},
-		{"refused with little time left", service, failure{err: full, inRow: 2, listed: true, slack: 1}, retryLeast},
-		{"refused with no time left", service, failure{err: full, inRow: 2, listed: true, slack: -time.Hour}, retryBusy},
-		{"refused often, and no list", service, failure{err: full, inRow: 1 << 40}, retryLeast},
-		{"refused late", service, failure{err: late, inRow: 1, listed: true, slack: 4 * time.Second}, retryLeast},
-		{"refused late many times", service, failure{err: late, inRow: 1 << 40, listed: true}, retryMost},
-		{"refused late many times, and no list", service, failure{err: late, inRow: 1 << 40}, retryNew},
-		{"refused where one must ask soon", strict, failure{err: full, inRow: 1, listed: true}, mustAsk},
-		{"an agent", pace{grace: grace}, failure{err: broken, inRow: 1}, grace / 4},
-		{"an agent, many times", pace{grace: grace}, failure{err: full, inRow: 1 << 40}, grace / 4},
-	} {
-		longest := time.Duration(0)
-		for range 1000 {
-			longest = max(longest, c.pace.retry(c.failure))
-		}
-		if longest >= c.most || longest < c.most*3/4 {
-			t.Errorf("%s: pauses up to %v, %v wanted", c.name, longest, c.most)
-		}
-	}
-}
-
 // step is what discovery does with one ask.
 type step string
 
@@ -428,34 +339,6 @@
 	}
 }
 
-// A front door that starts with an old list of a large fleet has DrainGrace to learn which of its backends drain, where
-// an agent of its own machine can tell it: it asks before anything else can happen, and again soon if that failed. The
-// same holds from the moment on in which an agent that was silent answers again.
-func TestAnAgentIsAskedAtOnce(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
-		defer stop()
-		start := time.Now()
-		var asked []time.Duration
-		silent := roundTrip(func(r *http.Request) (*http.Response, error) {
-			asked = append(asked, time.Since(start))
-			<-r.Context().Done()
-			return nil, r.Context().Err()
-		})
-		const grace = 400 * time.Millisecond
-		p := paceOf(Config{Settings: gateway.Settings{FrontDoors: 300, DrainGrace: grace}})
-		newFollower(silent, p, "agent", 1, func(EndpointList) {}).keepWatching(ctx)
-		if len(asked) == 0 || asked[0] > 0 {
-			t.Fatalf("asked first at %v", asked)
-		}
-		for i, at := range asked[1:] {
-			if gap := at - asked[i]; gap >= grace {
-				t.Errorf("a silent agent was asked again after %v", gap)
-			}
-		}
-	})
-}
-
 // Moves that come while an ask is out, twice in a row, and to an address that says nothing, leave the last one followed:
 // what the ones before still say is not heard.
 func TestMovesInTheMiddleOfAnAsk(t *testing.T) {
--- /dev/null
+++ b/internal/gateway/attempts_test.go
@@ -0,0 +1,132 @@
+package gateway
+
+import (
+	"testing"
+	"time"
+)
+
+func TestRetriesByEffect(t *testing.T) {
+	for _, c := range []struct {
+		class           string
+		first           Result
+		wait            time.Duration
+		resend          bool
+		refused, failed int
+	}{
+		{"safe", TimedOut, 0, true, 0, 0},
+		{"once", Refused, 0, true, 0, 0},
+		{"once", NoConnection, 0, true, 0, 0},
+		{"once", TimedOut, 0, false, 0, 1},
+		{"once", AnsweredErr, 0, false, 0, 1},
+		{"once", Unknown, 0, false, 0, 1},
+		{"keyed", Broken, 0, true, 0, 0},
+		{"keyed", Broken, 4 * second, false, 0, 1},
+		{"celled", Broken, 0, false, 0, 1}, // the other backend is in another cell
+		{"zoned", Broken, 0, false, 0, 1},
+		{"celled", Refused, 0, true, 0, 0},
+	} {
+		r := newRig(t, testSettings(), fleet(2)...)
+		id, as := r.ask(c.class, "wide", 1)
+		first := sends(as)[0]
+		r.now += c.wait
+		as = r.outcome(id, first.Backend, 0, c.first)
+		refused, failed := finals(as)
+		if got := sends(as); (len(got) == 1) != c.resend || refused != c.refused || failed != c.failed {
+			t.Errorf("%s after %d: sends %v, refused %d, failed %d", c.class, c.first, got, refused, failed)
+		}
+		if held(r.g) != b2i(c.resend) {
+			t.Errorf("%s: %d slots held", c.class, held(r.g))
+		}
+	}
+}
+
+// A keyed request's repeat must begin while the backends remember its key, also if its connection takes long to come up.
+// What never ran left no key behind.
+func TestKeyedRepeatsSayByWhenTheyMustBegin(t *testing.T) {
+	for _, c := range []struct {
+		class  string
+		first  Result
+		within bool
+	}{{"keyed", Broken, true}, {"keyed", NoConnection, false}, {"safe", Broken, false}} {
+		s := testSettings()
+		s.AnswerGrace = 8 * ms
+		r := newRig(t, s, fleet(2)...)
+		id, as := r.ask(c.class, "wide", 1)
+		if first := sends(as)[0]; first.Within != 0 {
+			t.Errorf("%s: a first attempt within %v", c.class, first.Within)
+		}
+		r.now += second
+		as = r.outcome(id, sends(as)[0].Backend, 0, c.first)
+		want := time.Duration(b2i(c.within)) * (r.g.classes[c.class].KeyWindow - second - 8*ms)
+		if got := sends(as); len(got) != 1 || got[0].Within != want {
+			t.Errorf("%s after %d: %+v, want it within %v", c.class, c.first, got, want)
+		}
+	}
+}
+
+// However many attempts the settings allow, three are made at most.
+func TestThreeAttemptsAtMost(t *testing.T) {
+	s := testSettings()
+	s.MaxAttempts = 5
+	r := newRig(t, s, fleet(9)...)
+	id, as := r.ask("safe", "wide", 1)
+	for n := range 3 {
+		if len(sends(as)) != 1 {
+			t.Fatalf("attempt %d: %v", n, as)
+		}
+		as = r.outcome(id, sends(as)[0].Backend, n, AnsweredErr)
+	}
+	if n, _ := finals(as); n != 1 || len(sends(as)) != 0 {
+		t.Errorf("after the third: %v", as)
+	}
+}
+
+func TestAttemptLimitAndTooLate(t *testing.T) {
+	s := testSettings()
+	s.MaxAttempts = 2
+	r := newRig(t, s, fleet(3)...)
+	id, as := r.ask("safe", "wide", 1)
+	as = r.outcome(id, sends(as)[0].Backend, 0, AnsweredErr)
+	as = r.outcome(id, sends(as)[0].Backend, 1, AnsweredErr)
+	if n, _ := finals(as); n != 1 || len(sends(as)) != 0 {
+		t.Errorf("after the last attempt: %v", as)
+	}
+	id, as = r.ask("safe", "wide", 1)
+	r.now += 6*second - 10*ms
+	as = r.outcome(id, sends(as)[0].Backend, 0, AnsweredErr)
+	if n, _ := finals(as); n != 1 || len(sends(as)) != 0 {
+		t.Errorf("a retry that cannot be answered in time: %v", as)
+	}
+}
+
+func TestDeadlineGivesOneFinalAnswer(t *testing.T) {
+	for class, wantFail := range map[string]bool{"safe": false, "once": true, "celled": true} {
+		r := newRig(t, testSettings(), fleet(1)...)
+		id, as := r.ask(class, "wide", 1)
+		b := sends(as)[0].Backend
+		r.now += 6 * second
+		as = r.do(Timer{Token: r.g.seq})
+		refused, failed := finals(as)
+		if refused+failed != 1 || (failed == 1) != wantFail {
+			t.Errorf("%s: refused %d failed %d", class, refused, failed)
+		}
+		if as = r.outcome(id, b, 0, Cancelled); len(as) != 0 || held(r.g) != 0 || len(r.g.requests) != 0 {
+			t.Errorf("%s: a late outcome led to %v, %d slots, %d requests", class, as, held(r.g), len(r.g.requests))
+		}
+	}
+}
+
+// Never two attempts out: a deadline calls the last one off, an outcome alone leads to the next.
+func TestOneAttemptOutAtATime(t *testing.T) {
+	r := newRig(t, testSettings(), fleet(3)...)
+	id, as := r.ask("safe", "wide", 1)
+	first := sends(as)[0]
+	r.now += 5 * second // silent for long
+	if as = r.do(Timer{Token: 0}); len(sends(as)) != 0 {
+		t.Fatalf("a second attempt beside the first: %v", as)
+	}
+	as = r.outcome(id, first.Backend, 0, Broken)
+	if got := sends(as); len(got) != 1 || got[0].Backend == first.Backend {
+		t.Errorf("no second try elsewhere: %v", as)
+	}
+}
--- /dev/null
+++ b/internal/gateway/rig_test.go
@@ -0,0 +1,94 @@
+package gateway
+
+import (
+	"testing"
+	"time"
+)
+
+// A gateway by itself, with the helpers that most tests use.
+
+func testSettings() Settings {
+	return Settings{FrontDoors: 2, Zone: "z1", MeterPeriod: second, LargestUnits: 2, MaxAttempts: 3,
+		ParallelTries: true, CanCancel: true, AnswerGrace: 16 * ms, DrainGrace: second, ColdFrom: 0.2,
+		WarmWithin: 10 * second, FallMultiple: 2.5, FallFor: second, MaxRetryAfter: second,
+		Classes: []Class{
+			{Name: "safe", Effect: Safe, Aim: 2 * second, Deadline: 6 * second, Worth: 1},
+			{Name: "dear", Effect: Safe, Aim: 2 * second, Deadline: 6 * second, Worth: 5},
+			{Name: "once", Effect: Unsafe, Aim: 2 * second, Deadline: 6 * second, Worth: 3},
+			{Name: "keyed", Effect: Keyed, Group: GroupAll, KeyWindow: 3 * second, Aim: 2 * second,
+				Deadline: 6 * second, Worth: 3},
+			{Name: "celled", Effect: Keyed, Group: GroupCell, KeyWindow: 3 * second, Aim: 2 * second,
+				Deadline: 6 * second, Worth: 3},
+			{Name: "zoned", Effect: Keyed, Group: GroupZone, KeyWindow: 3 * second, Aim: 2 * second,
+				Deadline: 6 * second, Worth: 3},
+		},
+		Plans: []Plan{
+			{Name: "wide", Rate: 1000, Burst: 1000, Price: 1},
+			{Name: "rated", Rate: 2, Burst: 4, Price: 1},
+			{Name: "capped", Rate: 100, Burst: 100, Price: 1, CeilingRate: 4, CeilingBurst: 8, CeilingSlack: 1},
+			{Name: "open", Open: 4, Price: 1},
+		}}
+}
+
+// held is how many slots are taken.
+func held(g *Gateway) int { return g.used[partHigh] + g.used[partLow] + g.used[partPool] }
+
+// rig drives one gateway by hand-made events.
+type rig struct {
+	t    *testing.T
+	g    *Gateway
+	now  time.Duration
+	next RequestID
+}
+
+func newRig(t *testing.T, s Settings, backends ...BackendInfo) *rig {
+	t.Helper()
+	r := &rig{t: t, now: 1000 * second}
+	g, err := New(s, 7, r.now)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.g = g
+	r.do(BackendList{Kind: ListSaved, Backends: backends})
+	return r
+}
+
+func fleet(n int) (out []BackendInfo) {
+	for i := 1; i <= n; i++ {
+		out = append(out, BackendInfo{ID: BackendID(i), Zone: "z" + string(rune('0'+i%2)), Cell: i % 2})
+	}
+	return out
+}
+
+func (r *rig) do(ev Event) []Action { return r.g.Handle(r.now, ev, nil) }
+
+func (r *rig) ask(class, plan string, customer CustomerID) (RequestID, []Action) {
+	r.next++
+	return r.next, r.do(Request{ID: r.next, Customer: customer, Class: class, Plan: plan, Units: 1,
+		Patience: 6 * second, Spread: 2})
+}
+
+func sends(as []Action) (out []Send) {
+	for _, a := range as {
+		if s, ok := a.(Send); ok {
+			out = append(out, s)
+		}
+	}
+	return out
+}
+
+func finals(as []Action) (refused, failed int) {
+	for _, a := range as {
+		switch a.(type) {
+		case Refuse:
+			refused++
+		case Fail:
+			failed++
+		}
+	}
+	return
+}
+
+func (r *rig) outcome(id RequestID, b BackendID, try int, res Result) []Action {
+	return r.do(Outcome{Request: id, Backend: b, Attempt: try, Result: res, Took: 100 * ms, Final: res == Answered})
+}
