--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -22,24 +22,25 @@
 		return
 	}
 	c := g.customer(ev, plan)
-	if !g.withinQuota(c, ev.Units) || !g.underCeiling(c, ev.Units) || !g.affordable(c, cl, ev.Units) {
+	if !g.withinQuota(c, ev.Units) || !g.underCeiling(c, ev.Units) || !g.admitExcess(c, cl, ev.Units) {
 		g.act(Refuse{ev.ID, g.untilQuota(c, ev.Units)})
 		return
 	}
 	g.seq++
-	r := &request{id: ev.ID, seq: g.seq, class: cl, cust: c, units: ev.Units, due: g.now + ev.Patience}
-	g.next(c)
+	r := &request{id: ev.ID, seq: g.seq, class: cl, customer: c, units: ev.Units,
+		deadline: g.now + ev.Patience}
+	g.dequeue(c)
 	switch {
-	case len(c.line) == 0 && g.inPart(c):
+	case len(c.queue) == 0 && g.underOpenLimit(c):
 		g.admit(r)
-	case !g.await(r):
+	case !g.enqueue(r):
 		g.act(Refuse{ev.ID, g.untilSlot()})
 	}
 }
 
 // admit gives a request that its quota has room for a slot and a backend, or refuses it at once.
 func (g *Gateway) admit(r *request) {
-	c, plan := r.cust, r.cust.plan
+	c, plan := r.customer, r.customer.plan
 	worth := r.class.Worth * plan.Price * r.units
 	high := g.isHigh(worth)
 	t := &g.tiers[b2i(high)]
@@ -56,23 +57,24 @@
 		return
 	}
 	g.requests[r.id], g.bySeq[r.seq] = r, r
-	c.ceil -= r.units
+	c.ceilingLevel -= r.units
 	if plan.Rate > 0 {
-		if len(c.draws) == mostDraws { // no readings: the older half goes into the store
-			at := c.draws[mostDraws/2-1].at
-			c.store, c.storeAt, c.draws = c.room(at), at, slices.Delete(c.draws, 0, mostDraws/2)
+		if len(c.recentSends) == mostDraws { // no readings: the older half goes into the bucket
+			at := c.recentSends[mostDraws/2-1].at
+			c.bucket, c.bucketAt = c.bucketLevel(at), at
+			c.recentSends = slices.Delete(c.recentSends, 0, mostDraws/2)
 		}
-		c.draws = append(c.draws, draw{g.now, 100 * r.units / plan.Rate})
+		c.recentSends = append(c.recentSends, sentUnits{g.now, 100 * r.units / plan.Rate})
 	}
 	g.send(r, b, s)
 	r.class.first = append(r.class.first, r)
-	g.act(SetTimer{After: r.due - g.now, Token: r.seq})
+	g.act(SetTimer{After: r.deadline - g.now, Token: r.seq})
 }
 
 // isHigh compares a worth with the recent median.
 func (g *Gateway) isHigh(worth float64) bool {
-	if g.worths = append(g.worths, worth); len(g.worths) > medianOver {
-		g.worths = g.worths[1:]
+	if g.recentValues = append(g.recentValues, worth); len(g.recentValues) > medianOver {
+		g.recentValues = g.recentValues[1:]
 	}
-	return worth > g.median
+	return worth > g.medianValue
 }
--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -24,7 +24,7 @@
 			_, as := r.ask("safe", plan, 5)
 			if f, ok := refusal(as); ok {
 				refused++
-				if f.RetryAfter <= 0 || f.RetryAfter > r.g.set.MaxRetryAfter {
+				if f.RetryAfter <= 0 || f.RetryAfter > r.g.settings.MaxRetryAfter {
 					t.Fatalf("%s: told to come back after %v", why, f.RetryAfter)
 				}
 			}
@@ -41,7 +41,7 @@
 
 func actionsOf(_ RequestID, as []Action) []Action { return as }
 
-// The time told is when the customer's store will hold the units: a client that keeps to it is let in then,
+// The time told is when the customer's token bucket will hold the units: a client that keeps to it is let in then,
 // and not long before.
 func TestAdviceIsWhenTheQuotaHasRoom(t *testing.T) {
 	for _, plan := range []string{"rated", "capped"} {
--- a/internal/gateway/api.go
+++ b/internal/gateway/api.go
@@ -1,12 +1,11 @@
-// Package gateway makes the decisions of a gateway that holds every customer of a shared back end to
-// its plan: which requests go on, to which backend, when to try again, and when to refuse.
+// Package gateway makes the decisions of a gateway that holds every customer of a shared back end to its plan:
+// which requests go on, to which backend, when to try again, and when to refuse.
 //
-// An embedding front door creates one Gateway with New and passes it everything that happens, in order, by
-// Handle; it carries out the returned actions at once and in order. The package has no clock, does no I/O,
-// holds no locks and keeps no package state: two gateways given the same seed and events act alike. A
-// Gateway is not safe for concurrent use. All times are durations on one clock that only moves forward and
-// whose origin does not matter. The decisions are in gateway.go, ceiling.go, health.go, staleness.go
-// and advice.go.
+// An embedding gateway creates one Gateway with New and passes it everything that happens, in order, by Handle; it
+// carries out the returned actions at once and in order. The package has no clock, does no I/O, holds no locks and
+// keeps no package state: two gateways given the same seed and events act alike. A Gateway is not safe for
+// concurrent use. All times are durations on one clock that only moves forward and whose origin does not matter.
+// The decisions are in gateway.go, ceiling.go, health.go, staleness.go and advice.go.
 package gateway
 
 import (
@@ -59,7 +58,7 @@
 	Stream    bool    // answers start (AnswerStarted) before they end
 }
 
-// Plan is what customers have bought. Its figures hold for each customer over all front doors together.
+// Plan is what customers have bought. Its figures hold for each customer over all gateways together.
 type Plan struct {
 	Name         string
 	Rate         float64 // units a second; 0: no such quota
@@ -75,7 +74,7 @@
 
 // Settings are the facts that a gateway starts with.
 type Settings struct {
-	FrontDoors    int // how many front doors share the back end
+	FrontDoors    int // how many gateways share the back end
 	Me            int // this one's number among them, from 0
 	Zone          string
 	Classes       []Class
@@ -125,7 +124,7 @@
 	return nil
 }
 
-// Event is something that happened at this front door.
+// Event is something that happened at this gateway.
 type Event interface{ isEvent() }
 
 // Request is a client's request, which from now on is owed one final answer.
@@ -136,8 +135,8 @@
 	Plan      string
 	Units     float64
 	Patience  time.Duration // how long this client waits for this try
-	FirstDoor int           // the first of the front doors that the customer uses
-	Spread    int           // how many doors in a row it uses
+	FirstDoor int           // the first of the gateways that the customer uses
+	Spread    int           // how many gateways in a row it uses
 }
 
 // BackendState is what the list says of a backend.
@@ -186,12 +185,12 @@
 const (
 	Answered     Result = iota // served
 	AnsweredErr                // the backend answered with an error
-	Refused                    // turned away unseen: full or draining
+	Refused                    // rejected unseen: full or draining
 	TimedOut                   // no answer in time
 	NoConnection               // no connection could be made
 	Broken                     // the connection broke while the attempt was out
-	Cancelled                  // called off by Cancel
-	NotSent                    // it never left this front door
+	Cancelled                  // cancelled by Cancel
+	NotSent                    // it never left this gateway
 	Unknown                    // not recognised; it may have run
 )
 
@@ -204,7 +203,7 @@
 	Took    time.Duration
 	Final   bool // the request has ended; nothing more is owed
 	HasUse  bool
-	Use     float64 // the customer's use over all front doors in the last summed period, percent of its rate
+	Use     float64 // the customer's use over all gateways in the last summed period, percent of its rate
 	Units   float64 // true units, where they are settled afterwards; else 0
 	Load    []float64
 }
@@ -237,7 +236,7 @@
 func (ProbeResult) isEvent()   {}
 func (Timer) isEvent()         {}
 
-// Action is something that the front door must do, at once and in order.
+// Action is something that the gateway must do, at once and in order.
 type Action interface{ isAction() }
 
 // Send starts an attempt: a first try, a retry, or a hedge.
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -13,34 +13,34 @@
 
 func (g *Gateway) send(r *request, b *backend, s *slot) {
 	within := time.Duration(0)
-	if t := r.ran(); t != nil && r.class.Effect == Keyed { // its connection may come up late
-		within = g.keyed(r, t)
+	if t := r.mayHaveRun(); t != nil && r.class.Effect == Keyed { // its connection may come up late
+		within = g.keyRemaining(r, t)
 	}
-	r.tries = append(r.tries, attempt{b: b, sent: g.now, open: true, slot: s})
-	g.owes(b)
+	r.attempts = append(r.attempts, attempt{b: b, sent: g.now, open: true, slot: s})
+	g.updateOverdue(b)
 	b.out++
 	b.tokens--
 	g.sends++
-	g.spare = min(mostSpare, g.spare+spareShare)
-	g.countOpen(r.cust, 1)
+	g.cancelBudget = min(mostSpare, g.cancelBudget+spareShare)
+	g.countOpen(r.customer, 1)
 	g.act(Send{Request: r.id, Backend: b.ID, Within: within})
 }
 
 func (g *Gateway) onOutcome(ev Outcome) {
 	r := g.requests[ev.Request]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.tries) || !r.tries[ev.Attempt].open {
+	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].open {
 		return
 	}
-	t := &r.tries[ev.Attempt]
+	t := &r.attempts[ev.Attempt]
 	t.open, t.result = false, ev.Result
 	g.learn(r, t, ev)
 	s := t.slot
 	t.b.out--
-	g.countOpen(r.cust, -1)
-	defer g.next(r.cust)
+	g.countOpen(r.customer, -1)
+	defer g.dequeue(r.customer)
 	if ev.HasUse {
-		g.learnUsage(r.cust, max(0, ev.Use)/100)
-		g.onReading(r.cust, max(0, ev.Use))
+		g.learnUsage(r.customer, max(0, ev.Use)/100)
+		g.onReading(r.customer, max(0, ev.Use))
 	}
 	if ev.Final {
 		g.end(r)
@@ -48,7 +48,7 @@
 	if r.ended || r.streamed || !g.retry(r, s) {
 		g.freeSlot(s)
 		if !r.ended && !r.streamed {
-			g.answer(r)
+			g.answerFinally(r)
 		}
 	}
 	g.drop(r)
@@ -57,35 +57,35 @@
 // learn takes what an outcome tells of its backend and of the back end as a whole.
 func (g *Gateway) learn(r *request, t *attempt, ev Outcome) {
 	b, took := t.b, ev.Took.Seconds()
-	g.owes(b)
-	g.vouch(t)
+	g.updateOverdue(b)
+	g.proveFresh(t)
 	late := ev.Result == TimedOut || ev.Result == Answered && took > r.class.late()
-	if ev.Result != Cancelled && ev.Result != NotSent && !t.told {
-		g.ended++
+	if ev.Result != Cancelled && ev.Result != NotSent && !t.countedLate {
+		g.outcomes++
 		if late || ev.Result == Refused {
-			g.bads++
-			b.badAt = g.now
+			g.badOutcomes++
+			b.lastBadAt = g.now
 		}
 	}
 	switch ev.Result {
 	case AnsweredErr, Unknown: // the backend said something
-		b.owed = 0
+		b.overdue = 0
 	case Answered:
-		b.owed, b.unreached, b.strikes = 0, 0, 0
-		g.aims += r.class.late()
-		r.class.lat += gain * (took - r.class.lat)
-		r.class.base = min(r.class.lat, r.class.base*(1+gain*gain/4))
-		g.meanLat += gain * (took - g.meanLat)
-		g.bestLat = min(g.meanLat, g.bestLat*(1+gain*gain/4))
-		b.slow += 2 * gain * (took/r.class.lat - b.slow)
+		b.overdue, b.unreached, b.outliers = 0, 0, 0
+		g.answerTime += r.class.late()
+		r.class.latency += gain * (took - r.class.latency)
+		r.class.bestLatency = min(r.class.latency, r.class.bestLatency*(1+gain*gain/4))
+		g.meanLatency += gain * (took - g.meanLatency)
+		g.bestLatency = min(g.meanLatency, g.bestLatency*(1+gain*gain/4))
+		b.slow += 2 * gain * (took/r.class.latency - b.slow)
 	case TimedOut, Cancelled: // it would have taken as long, unless it was dead
-		if t.off {
-			g.strike(b)
+		if t.superseded {
+			g.markOutlier(b)
 			break
 		}
-		b.slow += 2 * gain * max(0, min(took/r.class.lat, deadAfter)-b.slow)
+		b.slow += 2 * gain * max(0, min(took/r.class.latency, deadAfter)-b.slow)
 	case Refused:
-		b.owed, b.holdUntil = 0, g.now+seconds(g.meanLat/2)
+		b.overdue, b.holdUntil = 0, g.now+seconds(g.meanLatency/2)
 	case NoConnection:
 		g.noConnection(b)
 	}
@@ -95,7 +95,8 @@
 // retry sends a request whose attempts have all failed once more, in the slot of the last, if the client can
 // still be answered in time. It needs no budget of its own: N bounds all that is out.
 func (g *Gateway) retry(r *request, s *slot) bool {
-	if len(r.tries) >= min(g.set.MaxAttempts, mostTries) || (r.due-g.now).Seconds() < r.class.lat/2 {
+	tooLate := (r.deadline - g.now).Seconds() < r.class.latency/2
+	if tooLate || len(r.attempts) >= min(g.settings.MaxAttempts, mostTries) {
 		return false
 	}
 	b := g.choose(r)
@@ -105,9 +106,10 @@
 	return b != nil
 }
 
-// answer gives the final answer to a request that was not served: a refusal where that is true to rule 2.
-func (g *Gateway) answer(r *request) {
-	t := r.ran()
+// answerFinally gives the final answer to a request that was not served: a refusal where that is true to
+// rule 2.
+func (g *Gateway) answerFinally(r *request) {
+	t := r.mayHaveRun()
 	if t == nil || r.class.Effect == Safe ||
 		r.class.Effect == Keyed && r.class.Group == GroupAll && g.now-t.sent < r.class.KeyWindow {
 		g.act(Refuse{r.id, g.untilSlot()})
@@ -122,9 +124,9 @@
 	if r == nil || r.ended {
 		return
 	}
-	r.ended, r.awaits = true, false
-	if r.out() && g.set.CanCancel {
-		g.act(Cancel{Request: r.id, Attempt: len(r.tries) - 1})
+	r.ended, r.queued = true, false
+	if r.out() && g.settings.CanCancel {
+		g.act(Cancel{Request: r.id, Attempt: len(r.attempts) - 1})
 	}
 	g.drop(r)
 }
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// A keyed request's repeat must begin while the backends remember its key, also if its connection takes long to come up.
-// What never ran left no key behind.
+// A keyed request's repeat must begin while the backends remember its key, also if its connection takes long to
+// come up. What never ran left no key behind.
 func TestKeyedRepeatsSayByWhenTheyMustBegin(t *testing.T) {
 	for _, c := range []struct {
 		class  string
--- a/internal/gateway/ceiling_test.go
+++ b/internal/gateway/ceiling_test.go
@@ -45,14 +45,14 @@
 	}
 }
 
-// A customer with as many attempts out as its part allows waits for one of them to end, if that will be soon: of those
-// that come meanwhile, no more than can still be answered in time are held, and one that waited in vain is refused
-// long before its client gives up.
+// A customer with as many attempts out as its part allows waits for one of them to end, if that will be soon: of
+// those that come meanwhile, no more than can still be answered in time are held, and one that waited in vain is
+// refused long before its client gives up.
 func TestRequestsWaitForAnAttemptToEnd(t *testing.T) {
 	s := testSettings()
-	s.Plans[3].Open = 2 // one at each door
+	s.Plans[3].Open = 2 // one at each gateway
 	r := newRig(t, s, fleet(3)...)
-	r.g.meanLat = 0.6 // seconds
+	r.g.meanLatency = 0.6 // seconds
 	one, as := r.ask("safe", "open", 3)
 	if len(sends(as)) != 1 {
 		t.Fatalf("the first led to %+v", as)
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// coldWindow watches what all doors send to one cold backend.
+// coldWindow watches what all gateways send to one cold backend.
 type coldWindow struct {
 	born  time.Duration
 	sent  []time.Duration // within the last window
 	worst float64         // calls over what settings and chance allow, at the worst
 }
 
-// send counts one call. Within any time of FallFor a cold backend may get FallMultiple of what it can do then, N, and by
-// chance 2 x root of N + 2 more.
+// send counts one call. Within any time of FallFor a cold backend may get FallMultiple of what it can do then, N,
+// and by chance 2 x root of N + 2 more.
 func (w *coldWindow) send(now time.Duration, s Settings, capacity float64) {
 	w.sent = append(w.sent, now)
 	for now-w.sent[0] > s.FallFor {
@@ -27,8 +27,9 @@
 	w.worst = max(w.worst, float64(len(w.sent))-(n+2*math.Sqrt(n)+2))
 }
 
-// The calls of all doors together to a cold backend stay within what settings and chance allow, with few doors and with
-// many, with uneven traffic and further attempts, and where many doors restart in the moment in which many backends do.
+// The calls of all gateways together to a cold backend stay within what settings and chance allow, with few
+// gateways and with many, with uneven traffic and further attempts, and where many gateways restart in the moment
+// in which many backends do.
 func TestColdBackendsGetNoMoreThanChance(t *testing.T) {
 	const capacity = 20.0 // attempts a second of a warm backend: two cores and meanWork
 	for _, c := range []struct {
--- a/internal/gateway/concurrency_test.go
+++ b/internal/gateway/concurrency_test.go
@@ -10,14 +10,14 @@
 	press := func(n, bad, ended float64, sick int, flow float64) float64 {
 		r := newRig(t, testSettings(), fleet(3)...)
 		g := r.g
-		g.n, g.size, g.ended, g.bads = n, [3]float64{0, 0, n}, ended, bad
-		g.used[partPool], g.sendRate = 50, 50 // many sends: a second is weighed by a half
-		g.flow, g.aims = flow, flow
-		for _, b := range slices.Collect(g.order.All())[:sick] {
-			b.badAt = g.now
+		g.limit, g.partSize, g.outcomes, g.badOutcomes = n, [3]float64{0, 0, n}, ended, bad
+		g.inUse[sharedPool], g.sendRate = 50, 50 // many sends: a second is weighed by a half
+		g.sustainable, g.answerTime = flow, flow
+		for _, b := range slices.Collect(g.ranking.All())[:sick] {
+			b.lastBadAt = g.now
 		}
-		g.adjustN()
-		return g.n
+		g.adjustLimit()
+		return g.limit
 	}
 	inf := math.Inf(1)
 	for _, c := range []struct {
@@ -47,17 +47,17 @@
 	}
 }
 
-// One of many doors hears a few answers a second. What they can carry in time is counted in full within the first
-// seconds, not begun from nothing, which would refuse a tenth of the requests after each start.
+// One of many gateways hears a few answers a second. What they can carry in time is counted in full within the
+// first seconds, not begun from nothing, which would refuse a tenth of the requests after each start.
 func TestNFollowsTheFirstSecondsOfFewAnswers(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(30)...)
 	g := r.g
 	const aims = 3.0
 	for second, least := range []float64{0.5, 0.75, 0.83, 0.87} {
-		g.sends, g.aims, g.ended = 5, aims, 5
+		g.sends, g.answerTime, g.outcomes = 5, aims, 5
 		g.onTimer(0)
-		if g.flow < least*aims-0.01 || g.flow > aims {
-			t.Errorf("after %d s a flow of %v is taken to be %v, want %v of it at least", second+1, aims, g.flow, least)
+		if g.sustainable < least*aims-0.01 || g.sustainable > aims {
+			t.Errorf("after %d s a flow of %v is taken to be %v, want %v of it at least", second+1, aims, g.sustainable, least)
 		}
 	}
 }
@@ -66,13 +66,13 @@
 func TestSubratedAttemptsDoNotLiftN(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(3)...)
 	g := r.g
-	g.n, g.size, g.marked, g.ended, g.bads, g.flow = 100, [3]float64{0, 0, 100}, 60, 100, 50, 180
-	g.used[partPool] = 130
-	for b := range g.order.All() {
-		b.badAt = g.now
+	g.limit, g.partSize, g.marked, g.outcomes, g.badOutcomes, g.sustainable = 100, [3]float64{0, 0, 100}, 60, 100, 50, 180
+	g.inUse[sharedPool] = 130
+	for b := range g.ranking.All() {
+		b.lastBadAt = g.now
 	}
-	if g.adjustN(); g.n != 90 {
-		t.Errorf("N %v, want 90", g.n)
+	if g.adjustLimit(); g.limit != 90 {
+		t.Errorf("N %v, want 90", g.limit)
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 	r.now += 1100 * ms
 	r.do(Timer{Token: 0})
-	if math.IsInf(r.g.n, 1) {
+	if math.IsInf(r.g.limit, 1) {
 		t.Error("N stayed unbounded with 30 attempts past half their aim")
 	}
 }
@@ -101,22 +101,23 @@
 	}
 	r.now += 300 * ms // nothing is late yet
 	r.do(Timer{Token: 0})
-	if r.g.n > 30 {
-		t.Errorf("N %v after a second with 30 answers and 200 attempts out", r.g.n)
+	if r.g.limit > 30 {
+		t.Errorf("N %v after a second with 30 answers and 200 attempts out", r.g.limit)
 	}
 }
 
 func TestLateIsMeasuredByTheBestLatencyToo(t *testing.T) {
-	c := class{Class: Class{Aim: 4 * second}, base: 0.1}
+	c := class{Class: Class{Aim: 4 * second}, bestLatency: 0.1}
 	if got := c.late(); math.Abs(got-lateBase*0.1) > 1e-9 {
 		t.Errorf("late from %v s, want %v times the best latency", got, lateBase)
 	}
-	if c.base = 3; c.late() != 2 {
+	if c.bestLatency = 3; c.late() != 2 {
 		t.Errorf("late from %v s, want half the aim", c.late())
 	}
 }
 
-// With hundreds of doors a least N of one attempt a door was a jam by itself, for good (ifd7116, i2d298a, ibf5006).
+// With hundreds of gateways a least N of one attempt a gateway was a jam by itself, for good (ifd7116, i2d298a,
+// ibf5006).
 func TestNIsAFractionAtManyDoors(t *testing.T) {
 	s := testSettings()
 	s.FrontDoors = 600
@@ -135,7 +136,7 @@
 		}
 		r.do(Timer{Token: 0})
 	}
-	if r.g.n > 1.5 || r.g.n < 60.0/600 {
-		t.Errorf("N %v after 90 s without an answer, want about one", r.g.n)
+	if r.g.limit > 1.5 || r.g.limit < 60.0/600 {
+		t.Errorf("N %v after 90 s without an answer, want about one", r.g.limit)
 	}
 }
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -8,11 +8,11 @@
 
 // Handle takes one event and appends what must be done about it.
 func (g *Gateway) Handle(now time.Duration, ev Event, actions []Action) []Action {
-	g.now, g.acts = max(now, g.now), actions
+	g.now, g.actions = max(now, g.now), actions
 	if !g.started {
 		g.started = true
 		g.act(SetTimer{After: second, Token: 0})
-		if g.set.AskForList {
+		if g.settings.AskForList {
 			g.act(Subscribe{})
 		}
 	}
@@ -32,20 +32,20 @@
 	case Timer:
 		g.onTimer(ev.Token)
 	}
-	g.callOff()
-	actions, g.acts = g.acts, nil
+	g.cancelSlow()
+	actions, g.actions = g.actions, nil
 	return actions
 }
 
-func (g *Gateway) act(a Action) { g.acts = append(g.acts, a) }
+func (g *Gateway) act(a Action) { g.actions = append(g.actions, a) }
 
 // onTimer: token 0 is the second's tick; others name a request whose client now gives up.
 func (g *Gateway) onTimer(token uint64) {
 	if token == 0 {
 		g.tick()
 	} else if r := g.bySeq[token]; r != nil && !r.ended && !r.streamed &&
-		(r.awaits || g.now+time.Millisecond >= r.due) { // not by a timer from when it was held
-		g.answer(r)
+		(r.queued || g.now+time.Millisecond >= r.deadline) { // not by a timer from when it was held
+		g.answerFinally(r)
 	}
 }
 
--- a/internal/gateway/example_test.go
+++ b/internal/gateway/example_test.go
@@ -7,7 +7,7 @@
 	"herontiller/internal/gateway"
 )
 
-// A front door passes events in and carries out what comes back.
+// A gateway passes events in and carries out what comes back.
 func Example() {
 	g, err := gateway.New(gateway.Settings{
 		FrontDoors:  1,
--- a/internal/gateway/excess.go
+++ b/internal/gateway/excess.go
@@ -6,8 +6,8 @@
 	"herontiller/internal/budget"
 )
 
-// What is sent on beyond quotas has a price, and is held to a budget. Each request is admitted with a probability that
-// goes by its value and by its expected excess, at a shadow price that rises and falls with what is spent.
+// What is sent on beyond quotas has a price, and is held to a budget. Each request is admitted with a probability
+// that goes by its value and by its expected excess, at a shadow price that rises and falls with what is spent.
 
 const (
 	excessBudget   = 0.07 // of the worth asked inside quotas is the price that is aimed at: 0.1 is allowed
@@ -26,12 +26,13 @@
 	guessedReturns = 5.0        // requests refused that the share that comes again is counted over at least
 )
 
-// affordable tells whether a request goes on though it may be beyond the quota: surely where its expected value is at
-// least its expected price, less often the less it is, and of customers of whom nothing is known a share in any case.
-func (g *Gateway) affordable(c *customer, cl *class, units float64) bool {
+// admitExcess tells whether a request goes on though it may be beyond the quota: surely where its expected value is
+// at least its expected price, less often the less it is, and of customers of whom nothing is known a share in any
+// case.
+func (g *Gateway) admitExcess(c *customer, cl *class, units float64) bool {
 	plan, usage := c.plan, c.usage
-	returns := g.returns(c, cl, units)
-	unknown := c.heard == 0 && len(c.arrivals) == 0
+	returns := g.retryShare(c, cl, units)
+	unknown := c.meteredFor == 0 && len(c.arrivals) == 0
 	use := g.useOf(c)
 	c.arrived(g.now)
 	usage.units += unitsFade * (units - usage.units)
@@ -59,13 +60,13 @@
 	return true
 }
 
-// eventually is the probability that a client is admitted at last, where each of its requests is with the probability p
-// and it comes again with another.
+// eventually is the probability that a client is admitted at last, where each of its requests is with the
+// probability p and it comes again with another.
 func eventually(p, returns float64) float64 { return p / (1 - (1-p)*returns) }
 
-// returns is the share of the rejected requests whose clients come again, here or elsewhere, with a like request soon
-// after. What a rejection here advises is mostly the time of an answer.
-func (g *Gateway) returns(c *customer, cl *class, units float64) float64 {
+// retryShare is the share of the rejected requests whose clients come again, here or elsewhere, with a like request
+// soon after. What a rejection here advises is mostly the time of an answer.
+func (g *Gateway) retryShare(c *customer, cl *class, units float64) float64 {
 	if c.refused == cl && c.refusedSize == units && g.now-c.refusedAt < second {
 		g.price.returned++
 	}
@@ -73,8 +74,8 @@
 	return min(mostReturn, g.price.returned/(g.price.rejected+guessedReturns)/sameGateway)
 }
 
-// adjustPrice sets the shadow price to that at which the latest requests would have spent the budget. A class of which
-// too little is admitted has a lower one.
+// adjustPrice sets the shadow price to that at which the latest requests would have spent the budget. A class of
+// which too little is admitted has a lower one.
 func (g *Gateway) adjustPrice() {
 	e := &g.price
 	first := 1 - min(mostReturn, e.returned/max(1, e.requests)/sameGateway) // of the requests: clients' first
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// The fleet tests run many doors beside each other over one clock. Nothing but their events reaches them, and what is
-// bounded is the sum over all of them: the doors that restart from nothing and those that get most of the traffic are
-// among them. Outcomes come after random times, in the way of a back end that is half busy.
+// The fleet tests run many gateways beside each other over one clock. Nothing but their events reaches them, and
+// what is bounded is the sum over all of them: the gateways that restart from nothing and those that get most of
+// the traffic are among them. Outcomes come after random times, in the way of a back end that is half busy.
 
 type fleetEvent struct {
 	at   time.Duration
@@ -32,7 +32,7 @@
 	return e
 }
 
-// fleetRun is a fleet under way. The hooks see what all doors do.
+// fleetRun is a fleet under way. The hooks see what all gateways do.
 type fleetRun struct {
 	t     *testing.T
 	set   Settings
@@ -41,7 +41,7 @@
 	list  []BackendInfo
 	doors []*Gateway
 	lives []int
-	at    int     // the door that is acting
+	at    int     // the gateway that is acting
 	fails float64 // share of the attempts that end in an error
 	queue fleetQueue
 	next  RequestID
@@ -69,7 +69,7 @@
 	return f
 }
 
-// start begins a door from nothing but the list. What it had out before ends with it.
+// start begins a gateway from nothing but the list. What it had out before ends with it.
 func (f *fleetRun) start(door int) {
 	for _, e := range f.queue {
 		if o, ok := e.ev.(Outcome); ok && e.door == door && e.life == f.lives[door] {
@@ -112,7 +112,7 @@
 	heap.Push(&f.queue, fleetEvent{f.now + d, door, f.lives[door], ev})
 }
 
-// runUntil plays what is due, with requests of ask coming at the rate a second, or none where it gives no door.
+// runUntil plays what is due, with requests of ask coming at the rate a second, or none where it gives no gateway.
 func (f *fleetRun) runUntil(end time.Duration, rate float64, ask func() (door int, r Request)) {
 	arrival := f.now + seconds(f.rng.ExpFloat64()/rate)
 	for {
@@ -150,14 +150,14 @@
 	}
 }
 
-// unevenly draws a door of a set: the first of it gets several times what the last one gets.
+// unevenly draws a gateway of a set: the first of it gets several times what the last one gets.
 func (f *fleetRun) unevenly(first, spread int) int {
 	at := int(float64(spread) * math.Pow(f.rng.Float64(), 2.5))
 	return (first + at) % f.set.FrontDoors
 }
 
-// All doors together keep a customer under its ceiling, in rate and in attempts out, however many its doors are,
-// however little comes to each of them, and whichever of them restart from nothing.
+// All gateways together keep a customer under its ceiling, in rate and in attempts out, however many its gateways
+// are, however little comes to each of them, and whichever of them restart from nothing.
 func TestAllDoorsKeepTheCeilings(t *testing.T) {
 	for _, c := range []struct {
 		spread, open int
@@ -214,7 +214,7 @@
 				}
 			}
 			for i, n := range mostOut {
-				if most := max(c.open, c.spread); n > most { // a door with a part of one attempt has one at most
+				if most := max(c.open, c.spread); n > most { // a gateway with a part of one attempt has one at most
 					t.Errorf("%+v seed %d: %d attempts of customer %d out at once", c, seed, n, i)
 				}
 				if mean := outTime[i] / length; mean > float64(c.open)+1 { // the rule's slack is one request
@@ -228,8 +228,9 @@
 	}
 }
 
-// A cold backend bears only so much of what all doors send: FallMultiple of its capacity over FallFor. Most doors are
-// killed and come back just when half of the backends have been replaced, so that all of them know nothing at once.
+// A cold backend bears only so much of what all gateways send: FallMultiple of its capacity over FallFor. Most
+// gateways are killed and come back just when half of the backends have been replaced, so that all of them know
+// nothing at once.
 func TestAllDoorsSpareColdBackends(t *testing.T) {
 	const doors, backends, replaced, perDoor = 150, 90, 45, 10.0
 	const capacity = 20.0 // attempts a second of a warm backend: two cores and meanWork; the fleet asks for 83 in 100 of it
@@ -274,8 +275,8 @@
 	}
 }
 
-// Where readings of the meter come with answers, in the time that they take, all doors of a customer that asks for many
-// times its quota send about the quota: what none of them can know yet is all that is beyond it.
+// Where readings of the meter come with answers, in the time that they take, all gateways of a customer that asks
+// for many times its quota send about the quota: what none of them can know yet is all that is beyond it.
 func TestAllDoorsKeepTheQuota(t *testing.T) {
 	const doors, late, length = 8, 700 * ms, 30.0
 	set := testSettings()
@@ -308,10 +309,10 @@
 	}
 }
 
-// In a fleet of many doors, where most requests of a customer are the first that their door sees of it, customers that
-// ask for four times their quota send less beyond it than where all first requests pass (0.26 to 0.30 of the units here),
-// and those that ask for half of it are served about half at least, a large request now and then among them. Some doors
-// restart from nothing. The true state is kept by the test.
+// In a fleet of many gateways, where most requests of a customer are the first that their gateway sees of it,
+// customers that ask for four times their quota send less beyond it than where all first requests pass (0.26 to
+// 0.30 of the units here), and those that ask for half of it are served about half at least, a large request now
+// and then among them. Some gateways restart from nothing. The true state is kept by the test.
 func TestManyDoorsSendLittleBeyondTheQuota(t *testing.T) {
 	const doors, late, length, heavy, calm = 150, 700 * ms, 30.0, 4, 12
 	set := testSettings()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -52,8 +52,8 @@
 			t.Errorf("%#v led to %v", ev, as)
 		}
 	}
-	if r.g.used != [3]int{} {
-		t.Errorf("slots left in use: %v", r.g.used)
+	if r.g.inUse != [3]int{} {
+		t.Errorf("slots left in use: %v", r.g.inUse)
 	}
 }
 
--- a/internal/gateway/health_test.go
+++ b/internal/gateway/health_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// quick is a gateway of n backends, in one cell, that has learnt that answers take 100 ms and may call all off that it
-// likes, with one attempt of the class out.
+// quick is a gateway of n backends, in one cell, that has learnt that answers take 100 ms and may call all off that
+// it likes, with one attempt of the class out.
 func quick(t *testing.T, n int, class string) (r *rig, id RequestID, b BackendID) {
 	t.Helper()
 	backends := fleet(n)
@@ -38,14 +38,14 @@
 	}
 	r = newRig(t, testSettings(), backends...)
 	for _, cl := range r.g.byClass {
-		cl.lat, cl.base = 0.1, 0.1
+		cl.latency, cl.bestLatency = 0.1, 0.1
 	}
-	r.g.meanLat, r.g.bestLat, r.g.spare = 0.1, 0.1, mostSpare
+	r.g.meanLatency, r.g.bestLatency, r.g.cancelBudget = 0.1, 0.1, mostSpare
 	id, as := r.ask(class, "wide", 1)
 	return r, id, sends(as)[0].Backend
 }
 
-// wait lets the time pass after which a first attempt may be called off, and gives what the next event leads to.
+// wait lets the time pass after which a first attempt may be cancelled, and gives what the next event leads to.
 func (r *rig) wait() []Action {
 	r.now += seconds(deadAfter*0.1) + ms
 	return r.do(ProbeResult{})
@@ -72,15 +72,15 @@
 		{"keyed, in its cell", "celled", func(*rig) {}, 1},
 		{"unsafe", "once", func(*rig) {}, 0},
 		{"keyed, alone in its cell", "celled", func(r *rig) {
-			for i, b := range slices.Collect(r.g.order.All()) {
+			for i, b := range slices.Collect(r.g.ranking.All()) {
 				b.Cell = i
 			}
 		}, 0},
-		{"no share left", "safe", func(r *rig) { r.g.spare = 0.9 }, 0},
-		{"no cancels", "safe", func(r *rig) { r.g.set.CanCancel = false }, 0},
+		{"no share left", "safe", func(r *rig) { r.g.cancelBudget = 0.9 }, 0},
+		{"no cancels", "safe", func(r *rig) { r.g.settings.CanCancel = false }, 0},
 		{"the client gives up soon", "safe", func(r *rig) {
 			for _, q := range r.g.requests {
-				q.due = r.now + seconds(deadAfter*0.1) + 150*ms
+				q.deadline = r.now + seconds(deadAfter*0.1) + 150*ms
 			}
 		}, 0},
 	} {
@@ -113,7 +113,7 @@
 	}
 }
 
-// In a jam everything waits. What is called off then is work done twice, so it stays a small share of the sends.
+// In a jam everything waits. What is cancelled then is work done twice, so it stays a small share of the sends.
 func TestFewAttemptsAreCalledOffInAJam(t *testing.T) {
 	r, _, _ := quick(t, 40, "safe")
 	const more = 320
@@ -135,11 +135,11 @@
 	for n := range 3 {
 		r.wait()
 		r.do(Outcome{Request: id, Backend: at, Result: Cancelled, Took: second})
-		if b.owed <= last || b.slow != slow {
-			t.Errorf("after %d strikes: owes %v, not over %v, or slowness %v is not %v", n+1, b.owed, last, b.slow, slow)
+		if b.overdue <= last || b.slow != slow {
+			t.Errorf("after %d strikes: owes %v, not over %v, or slowness %v is not %v", n+1, b.overdue, last, b.slow, slow)
 		}
-		last = b.owed
-		for o := range r.g.order.All() { // the rest is shut, so that the next attempt goes there as well
+		last = b.overdue
+		for o := range r.g.ranking.All() { // the rest is shut, so that the next attempt goes there as well
 			o.holdUntil = r.now
 			if o != b {
 				o.holdUntil = r.now + second
@@ -152,7 +152,7 @@
 		id = next
 	}
 	r.outcome(id, at, 0, Answered)
-	if b.strikes != 0 || b.owed != 0 {
-		t.Errorf("after an answer: %d strikes, owes %v", b.strikes, b.owed)
+	if b.outliers != 0 || b.overdue != 0 {
+		t.Errorf("after an answer: %d strikes, owes %v", b.outliers, b.overdue)
 	}
 }
--- a/internal/gateway/listing_test.go
+++ b/internal/gateway/listing_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Whatever lists say, whole, half, stale, doubled or back and forth, and whatever is out meanwhile: what the gateway holds
-// of them is what a plain reading of each list gives, and what is counted is what a look at all of them counts.
+// Whatever lists say, whole, half, stale, doubled or back and forth, and whatever is out meanwhile: what the
+// gateway holds of them is what a plain reading of each list gives, and what is counted is what a look at all of
+// them counts.
 func TestListsAreKeptWhateverTheySay(t *testing.T) {
 	const backends, steps = 40, 3000
 	rng := rand.New(rand.NewPCG(5, 6))
@@ -59,7 +60,7 @@
 func checkListing(t *testing.T, g *Gateway, want map[BackendID]BackendInfo, step int) {
 	t.Helper()
 	ready, cold, warm := 0, 0, 0.0
-	for b := range g.order.All() {
+	for b := range g.ranking.All() {
 		if info, listed := want[b.ID]; b.State != Gone && (!listed || info.State != b.State) {
 			t.Fatalf("step %d: backend %d is %d here, %+v in the lists", step, b.ID, b.State, info)
 		}
@@ -76,12 +77,12 @@
 	for _, info := range want {
 		listed += b2i(info.State == Ready)
 	}
-	if ready != listed || g.order.Len()-g.away.Len() != ready || g.order.Len() != len(g.backends) {
+	if ready != listed || g.ranking.Len()-g.unavailable.Len() != ready || g.ranking.Len() != len(g.backends) {
 		t.Fatalf("step %d: %d ready, %d in the lists, %d counted; %d in order of %d", step, ready, listed,
-			g.order.Len()-g.away.Len(), g.order.Len(), len(g.backends))
+			g.ranking.Len()-g.unavailable.Len(), g.ranking.Len(), len(g.backends))
 	}
 	colds, sum := 0, float64(ready)
-	g.colds.Sweep(func(b *backend) bool {
+	g.coldBackends.Sweep(func(b *backend) bool {
 		if b.State == Ready && g.backends[b.ID] == b {
 			sum += g.warmth(b) - 1
 			colds += b2i(b.cold)
@@ -104,8 +105,8 @@
 			_, actions := r.ask("safe", "wide", 1)
 			s := sends(actions)[0]
 			looked := 0
-			for b := range r.g.order.All() {
-				looked += b2i(b.owedAt == r.now)
+			for b := range r.g.ranking.All() {
+				looked += b2i(b.overdueAt == r.now)
 			}
 			most = max(most, looked)
 			r.outcome(s.Request, s.Backend, 0, Answered)
--- a/internal/gateway/market_specs_test.go
+++ b/internal/gateway/market_specs_test.go
@@ -56,8 +56,9 @@
 	}
 }
 
-// All doors together keep the price of what is sent on beyond quotas within a bound, serve most of what is asked within
-// them, and every class and every plan a part of what it asks within them, whatever the settings and the customers are like.
+// All gateways together keep the price of what is sent on beyond quotas within a bound, serve most of what is asked
+// within them, and every class and every plan a part of what it asks within them, whatever the settings and the
+// customers are like.
 func TestMarketsAreServedAtABoundedPrice(t *testing.T) {
 	const leastOfClass, leastOfPlan = 0.5, 1.0 / 3
 	for name, spec := range marketSpecs() {
--- a/internal/gateway/market_test.go
+++ b/internal/gateway/market_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// A market is a fleet with customers as the operators describe them: most use a part of their quota, some nearly all,
-// some ask for many times it all day, and some now and then. Each has its own doors, busy ones and idle ones that
-// change, and comes again elsewhere when it is refused. The market keeps the true state of every quota, which no door
-// sees, and tells what was sent on beyond quotas and what was served within them.
+// A market is a fleet with customers as the operators describe them: most use a part of their quota, some nearly
+// all, some ask for many times it all day, and some now and then. Each has its own gateways, busy ones and idle
+// ones that change, and comes again elsewhere when it is refused. The market keeps the true state of every quota,
+// which no gateway sees, and tells what was sent on beyond quotas and what was served within them.
 
 // marketPlan is a plan and what its customers do.
 type marketPlan struct {
 	Plan
 	use    float64 // its part of what is asked inside quotas
-	spread float64 // of the doors that its customers come through, at least
-	most   int     // doors at most; 0: any number
+	spread float64 // of the gateways that its customers come through, at least
+	most   int     // gateways at most; 0: any number
 }
 
 // marketClass is a class and the units of its requests: fixed, or drawn where mean is 0 or more.
@@ -30,7 +30,7 @@
 }
 
 type marketSpec struct {
-	doors, most int // doors; units of the largest request
+	doors, most int // gateways; units of the largest request
 	perDoor     float64
 	period      time.Duration // of the meter
 	late        time.Duration
@@ -71,7 +71,7 @@
 	spikeAt       time.Duration // the next or last spike
 	spikeLen      time.Duration
 	spikeX        float64
-	weights       []float64 // running sums over its doors
+	weights       []float64 // running sums over its gateways
 	shiftAt       time.Duration
 	sent, asked   store // of what the fleet sends on, and of all first tries
 	open          int
@@ -122,7 +122,7 @@
 	return m
 }
 
-// populate draws customers until the load is what the doors get.
+// populate draws customers until the load is what the gateways get.
 func (m *market) populate(rng *rand.Rand) {
 	units, mean := 0.0, 0.0
 	for _, c := range m.spec.classes {
@@ -167,7 +167,7 @@
 	}
 }
 
-// shift draws anew which of its doors are the customer's busy ones.
+// shift draws anew which of its gateways are the customer's busy ones.
 func (c *marketCustomer) shift(now time.Duration, rng *rand.Rand) {
 	c.weights, c.shiftAt = make([]float64, c.spread), now+seconds(7+17*rng.Float64())
 	sum := 0.0
@@ -238,7 +238,7 @@
 	return []*tally{&m.byPlan[p], &m.byClass[a.class]}
 }
 
-// try is a client's first or further try, at one of its doors.
+// try is a client's first or further try, at one of its gateways.
 func (m *market) try(a *marketAsk) (int, Request) {
 	c := &m.customers[a.customer]
 	a.tries++
@@ -282,7 +282,7 @@
 	}
 }
 
-// refused brings the client back a moment later, at the same door or at another one of its own.
+// refused brings the client back a moment later, at the same gateway or at another one of its own.
 func (m *market) refused(r Request, after time.Duration) {
 	a := m.asks[r.ID]
 	if a.tries > m.spec.retries {
--- a/internal/gateway/odd_test.go
+++ b/internal/gateway/odd_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Settings that are legal but odd work: customers that ask for a part of what they may are served, and nothing that the
-// door keeps leaves the numbers.
+// Settings that are legal but odd work: customers that ask for a part of what they may are served, and nothing that
+// the gateway keeps leaves the numbers.
 func TestOddSettingsWork(t *testing.T) {
 	for name, odd := range map[string]func(*Settings){
 		"a burst of one request":     func(s *Settings) { s.Plans[0].Burst = 1 },
--- a/internal/gateway/property_test.go
+++ b/internal/gateway/property_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The property tests feed several doors random but legal events and check the five rules on what they do. The
+// The property tests feed several gateways random but legal events and check the five rules on what they do. The
 // events know nothing of queues or load: this is a checker, no model of a back end.
 
 type seenTry struct {
@@ -153,7 +153,7 @@
 		for _, at := range k.cold[a.Backend] {
 			in += b2i(k.now-at <= k.set.FallFor)
 		}
-		// over all doors, no more than what the doors together may send to one warm backend, and one each
+		// over all gateways, no more than what the gateways together may send to one warm backend, and one each
 		if most := len(k.doors) + int(1.5*arrivalsPerSecond/3); in > most {
 			k.fail("%d sends in %v to backend %d, which has just started; at most %d", in, k.set.FallFor, b.ID, most)
 		}
@@ -243,7 +243,7 @@
 	}
 	k.order = keep
 	switch door := k.rng.IntN(len(k.doors)); k.rng.IntN(60) {
-	case 0: // the door is killed and comes back; its requests are void
+	case 0: // the gateway is killed and comes back; its requests are void
 		for _, id := range k.order {
 			if r := k.requests[id]; r.door == door {
 				r.ended = true
@@ -304,7 +304,7 @@
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		sent, doors, least := 0, 3, 120
-		if seed > 8 { // many doors, each of which sees a request or two a second; rules 4 and 5 are over all
+		if seed > 8 { // many gateways, each of which sees a request or two a second; rules 4 and 5 are over all
 			doors, least = 40, 60
 		}
 		for _, l := range runChecker(t, seed, doors, seed%2 == 0, 15000) {
--- a/internal/gateway/quota_test.go
+++ b/internal/gateway/quota_test.go
@@ -25,15 +25,15 @@
 		r.reading(c, 300)
 		r.now += 50 * ms
 	}
-	if c.store != 0 { // 200 + 100 - 300
-		t.Errorf("store %v after one reading of 300, repeated; want 0", c.store)
+	if c.bucket != 0 { // 200 + 100 - 300
+		t.Errorf("store %v after one reading of 300, repeated; want 0", c.bucket)
 	}
 	r.now += second
 	for range 3 {
 		r.reading(c, 60)
 	}
-	if math.Abs(c.store-65) > 30 { // the 0.25 s between the periods fill it too
-		t.Errorf("store %v after one reading of 60, want about 65", c.store)
+	if math.Abs(c.bucket-65) > 30 { // the 0.25 s between the periods fill it too
+		t.Errorf("store %v after one reading of 60, want about 65", c.bucket)
 	}
 }
 
@@ -41,10 +41,10 @@
 	r, c := quotaRig(t)
 	for _, step := range []struct{ use, want float64 }{{500, 0.2}, {200, 0.1}, {0, 1}} {
 		r.now += second
-		c.store, c.storeAt = 0, r.now-(1+readingAge)*second // as a period ago
+		c.bucket, c.bucketAt = 0, r.now-(1+readingAge)*second // as a period ago
 		r.reading(c, step.use)
-		if math.Abs(c.pass-step.want) > 0.01 {
-			t.Errorf("after a reading of %v the pass share is %v, want %v", step.use, c.pass, step.want)
+		if math.Abs(c.passShare-step.want) > 0.01 {
+			t.Errorf("after a reading of %v the pass share is %v, want %v", step.use, c.passShare, step.want)
 		}
 	}
 }
@@ -54,16 +54,16 @@
 	for _, use := range []float64{9000, 0, 0, 0, 700, 100, 0, 0, 0, 0, 0} {
 		r.now += second
 		r.reading(c, use)
-		if c.store < 0 || c.store > c.capacity() {
-			t.Errorf("store %v after a reading of %v", c.store, use)
+		if c.bucket < 0 || c.bucket > c.capacity() {
+			t.Errorf("store %v after a reading of %v", c.bucket, use)
 		}
 	}
-	if c.store != c.capacity() {
-		t.Errorf("store %v after five idle periods, want the burst", c.store)
+	if c.bucket != c.capacity() {
+		t.Errorf("store %v after five idle periods, want the burst", c.bucket)
 	}
 }
 
-// Readings come seconds late: a burst used to pass whole, at every door, before one told of it.
+// Readings come seconds late: a burst used to pass whole, at every gateway, before one told of it.
 func TestABurstIsHeldBeforeAnyReading(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(2)...)
 	passed := 0
@@ -71,7 +71,7 @@
 		_, as := r.ask("safe", "rated", 6)
 		passed += len(sends(as))
 	}
-	if passed < 1 || passed > 2 { // the burst of 4 over two doors
+	if passed < 1 || passed > 2 { // the burst of 4 over two gateways
 		t.Errorf("%d of 20 passed at once, want 1 or 2", passed)
 	}
 }
@@ -80,7 +80,7 @@
 func TestProjectionBindsWhereTheStoreIsEmpty(t *testing.T) {
 	r, c := quotaRig(t)
 	r.now += second
-	c.store, c.storeAt, c.pass, c.draws = 0, r.now, 1, nil
+	c.bucket, c.bucketAt, c.passShare, c.recentSends = 0, r.now, 1, nil
 	_, as := r.ask("safe", "rated", 5)
 	if len(sends(as)) != 0 {
 		t.Error("passed with nothing in the store because f stood at 1")
@@ -95,13 +95,13 @@
 	for range 200 {
 		r.ask("safe", "rated", 5)
 	}
-	c.pass = 0.001
+	c.passShare = 0.001
 	r.now += 8 * second
 	_, as := r.ask("safe", "rated", 5)
 	if len(sends(as)) != 1 {
 		t.Error("still refused eight seconds later")
 	}
-	if got := len(c.draws); got > 10 {
+	if got := len(c.recentSends); got > 10 {
 		t.Errorf("%d draws kept", got)
 	}
 }
@@ -121,8 +121,8 @@
 	c := r.g.customers[4]
 	r.now += second
 	r.reading(c, 400)
-	if len(sends(as)) != 1 || c.pass > 0.26 || time.Duration(c.store) != 0 {
-		t.Errorf("sends %v, pass share %v, store %v", sends(as), c.pass, c.store)
+	if len(sends(as)) != 1 || c.passShare > 0.26 || time.Duration(c.bucket) != 0 {
+		t.Errorf("sends %v, pass share %v, store %v", sends(as), c.passShare, c.bucket)
 	}
 }
 
@@ -132,12 +132,12 @@
 	r, c := quotaRig(t)
 	r.now += 10 * second
 	r.reading(c, 40)
-	counted := c.read
+	counted := c.readAt
 	r.now += 800 * ms
-	if r.reading(c, 40); c.read != counted {
+	if r.reading(c, 40); c.readAt != counted {
 		t.Error("the same value within a period was counted again")
 	}
-	if r.reading(c, 70); c.read == counted {
+	if r.reading(c, 70); c.readAt == counted {
 		t.Error("a new value after most of a period was not counted")
 	}
 }
@@ -152,13 +152,13 @@
 	for i := range 400 {
 		r.now += 50 * ms
 		r.g.now = r.now
-		before := c.heard
+		before := c.meteredFor
 		r.g.onReading(c, float64(40+i%2))
-		if c.heard != before {
+		if c.meteredFor != before {
 			counted++
 		}
-		if c.storeAt > r.now && r.now-start > second { // a new customer's first reading covers its first period
-			t.Fatalf("after %v the store is that of %v ahead", r.now-start, c.storeAt-r.now)
+		if c.bucketAt > r.now && r.now-start > second { // a new customer's first reading covers its first period
+			t.Fatalf("after %v the store is that of %v ahead", r.now-start, c.bucketAt-r.now)
 		}
 	}
 	if least, most := 16, 21; counted < least || counted > most {
@@ -166,9 +166,9 @@
 	}
 }
 
-// manyDoorsLetIn plays one customer of the plan "rated" that comes to each of 40 doors every 4 s, one door after
-// another, so that it asks for 10 units a second. It tells the share let in from the fifth second on. Answers tell of
-// its use where use is 0 or more.
+// manyDoorsLetIn plays one customer of the plan "rated" that comes to each of 40 gateways every 4 s, one gateway
+// after another, so that it asks for 10 units a second. It tells the share let in from the fifth second on. Answers
+// tell of its use where use is 0 or more.
 func manyDoorsLetIn(t *testing.T, use float64) float64 {
 	const doors = 40
 	s := testSettings()
@@ -194,8 +194,8 @@
 	return float64(let) / float64(asked)
 }
 
-// A door of many that meets a customer again and again can't see how much it asks elsewhere, but it would hardly meet
-// one of small use so often. Where the readings tell that the use is small, they count.
+// A gateway of many that meets a customer again and again can't see how much it asks elsewhere, but it would hardly
+// meet one of small use so often. Where the readings tell that the use is small, they count.
 func TestOneOfManyDoorsTakesACustomerToAskMuch(t *testing.T) {
 	for doors, least := range map[int]float64{2: 0, 40: 150} {
 		s := testSettings()
@@ -203,7 +203,7 @@
 		r := newRig(t, s, fleet(2)...)
 		r.do(Request{ID: 1, Customer: 5, Class: "safe", Plan: "rated", Units: 1, Patience: second, Spread: doors})
 		c := r.g.customers[5]
-		steady, each := c.others(r.now)
+		steady, each := c.otherUse(r.now)
 		if use := steady + each*priorUse; use < least || doors == 2 && use > 60 {
 			t.Errorf("%d doors: the others are taken to use %.0f in 100 of the rate", doors, use)
 		}
--- a/internal/gateway/reserves.go
+++ b/internal/gateway/reserves.go
@@ -7,8 +7,8 @@
 	"herontiller/internal/reservation"
 )
 
-// The reserves of the two tiers and the pool, of the N slots, and sub-rating. Comments mark departures from the
-// paper.
+// The reserves of the two tiers and the pool, of the N slots, and sub-rating. Comments mark departures from
+// the paper.
 
 const (
 	alpha      = 2   // low requests marked for one high one; the paper's own figure
@@ -19,50 +19,51 @@
 // takeSlot gives a slot of the tier's own reserve, else of the pool, else (high only) by sub-rating. A marked
 // low request counts 1-1/alpha in the pool, so that marking alpha of them lets the pool run one over.
 func (g *Gateway) takeSlot(high bool) *slot {
-	own := partLow
+	own := lowReserve
 	if high {
-		own = partHigh
+		own = highReserve
 	}
 	g.average()
-	part := partPool
+	part := sharedPool
 	if g.fits(own) {
 		part = own
-	} else if !g.fits(partPool) && (!high || !g.subrate()) {
+	} else if !g.fits(sharedPool) && (!high || !g.subrate()) {
 		return nil
 	}
 	s := &slot{part: part}
-	g.used[part]++
-	if part == partPool && !high && !math.IsInf(g.n, 1) {
+	g.inUse[part]++
+	if part == sharedPool && !high && !math.IsInf(g.limit, 1) {
 		g.unmarked = append(g.unmarked, s)
 	}
 	return s
 }
 
-// average brings busy up to now. Exception: with many doors each has a slot or less of the back end. As they
-// even each other out, a small part is held on average instead of at every moment.
+// average brings busy up to now. Exception: with many gateways each has a slot or less of the back end. As
+// they even each other out, a small part is held on average instead of at every moment.
 func (g *Gateway) average() {
-	dt := (g.now - g.busyAt).Seconds()
-	g.busyAt = g.now
-	pool := float64(g.used[partPool]) - float64(g.marked)/alpha
-	for p, use := range [3]float64{float64(g.used[partHigh]), float64(g.used[partLow]), pool} {
-		window := g.bestLat * (fewSlots/max(g.size[p], 1e-3) - 1)
-		if g.size[p] >= fewSlots {
-			g.busy[p] = use
+	dt := (g.now - g.meanInUseAt).Seconds()
+	g.meanInUseAt = g.now
+	pool := float64(g.inUse[sharedPool]) - float64(g.marked)/alpha
+	for p, use := range [3]float64{float64(g.inUse[highReserve]), float64(g.inUse[lowReserve]), pool} {
+		window := g.bestLatency * (fewSlots/max(g.partSize[p], 1e-3) - 1)
+		if g.partSize[p] >= fewSlots {
+			g.meanInUse[p] = use
 		} else {
-			g.busy[p] = use + (g.busy[p]-use)*math.Exp(-dt/window)
+			g.meanInUse[p] = use + (g.meanInUse[p]-use)*math.Exp(-dt/window)
 		}
 	}
 }
 
 // fits tells whether a part has room for one more: a whole slot, or of a small part the part of its window.
 func (g *Gateway) fits(part int) bool {
-	return g.busy[part]+min(1, g.size[part]/fewSlots) <= g.size[part]+1e-9 && g.size[part] > 1e-6
+	size := g.partSize[part]
+	return g.meanInUse[part]+min(1, size/fewSlots) <= size+1e-9 && size > 1e-6
 }
 
 // subrate marks the alpha oldest unmarked low requests of the pool, or none if there are fewer.
 func (g *Gateway) subrate() bool {
 	g.unmarked = slices.DeleteFunc(g.unmarked, func(s *slot) bool { return s.freed })
-	if len(g.unmarked) < alpha || g.busy[partPool] > g.size[partPool]+1e-9 {
+	if len(g.unmarked) < alpha || g.meanInUse[sharedPool] > g.partSize[sharedPool]+1e-9 {
 		return false
 	}
 	for _, s := range g.unmarked[:alpha] {
@@ -75,7 +76,7 @@
 
 func (g *Gateway) freeSlot(s *slot) {
 	s.freed = true
-	g.used[s.part]--
+	g.inUse[s.part]--
 	if s.marked {
 		g.marked--
 	}
@@ -98,8 +99,8 @@
 // split leaves requests where they are: a part that shrank below its use takes no more until it drains.
 func (g *Gateway) split() {
 	low, high := g.tiers[0], g.tiers[1]
-	mu := 1 / max(g.meanLat, 1e-6)
-	nh, nl := reservation.Split(g.n, reservation.Load{High: high.rate, Low: low.rate, Service: mu,
+	mu := 1 / max(g.meanLatency, 1e-6)
+	nh, nl := reservation.Split(g.limit, reservation.Load{High: high.rate, Low: low.rate, Service: mu,
 		HighValue: max(high.mean, low.mean), LowValue: low.mean}, alpha, splitSteps)
-	g.size = [3]float64{nh, nl, g.n - nh - nl}
+	g.partSize = [3]float64{nh, nl, g.limit - nh - nl}
 }
--- a/internal/gateway/reserves_test.go
+++ b/internal/gateway/reserves_test.go
@@ -18,20 +18,20 @@
 		r.g.isHigh(9)
 	}
 	r.do(Timer{Token: 0})
-	if r.g.isHigh(5) || len(r.g.worths) != medianOver {
-		t.Errorf("the median does not follow, or %d worths are kept", len(r.g.worths))
+	if r.g.isHigh(5) || len(r.g.recentValues) != medianOver {
+		t.Errorf("the median does not follow, or %d worths are kept", len(r.g.recentValues))
 	}
 }
 
 func TestOwnReserveThenPoolThenSubrating(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(1)...)
 	g := r.g
-	g.n, g.size = 5*fewSlots, [3]float64{1 * fewSlots, 1 * fewSlots, 3 * fewSlots}
+	g.limit, g.partSize = 5*fewSlots, [3]float64{1 * fewSlots, 1 * fewSlots, 3 * fewSlots}
 	for range int(fewSlots) - 1 { // all but the last slot of each reserve, and of the pool all but three by marked ones
-		g.used[partHigh]++
-		g.used[partLow]++
+		g.inUse[highReserve]++
+		g.inUse[lowReserve]++
 	}
-	g.used[partPool] = 3*fewSlots - 3
+	g.inUse[sharedPool] = 3*fewSlots - 3
 	var held []*slot
 	take := func(high bool, want int) {
 		t.Helper()
@@ -46,41 +46,41 @@
 			t.Fatalf("slot of part %d, want %d", got, want)
 		}
 	}
-	take(false, partLow)
-	take(false, partPool)
-	take(false, partPool)
-	take(true, partHigh)
-	take(true, partPool)
-	take(false, -1)      // the pool is full
-	take(true, partPool) // two low ones are marked
-	take(true, -1)       // none is left to mark
-	if g.marked != alpha || g.used != [3]int{fewSlots, fewSlots, 3*fewSlots + 1} {
-		t.Fatalf("marked %d, used %v", g.marked, g.used)
+	take(false, lowReserve)
+	take(false, sharedPool)
+	take(false, sharedPool)
+	take(true, highReserve)
+	take(true, sharedPool)
+	take(false, -1)        // the pool is full
+	take(true, sharedPool) // two low ones are marked
+	take(true, -1)         // none is left to mark
+	if g.marked != alpha || g.inUse != [3]int{fewSlots, fewSlots, 3*fewSlots + 1} {
+		t.Fatalf("marked %d, used %v", g.marked, g.inUse)
 	}
 	for _, s := range held {
 		g.freeSlot(s)
 	}
-	if g.marked != 0 || g.used != [3]int{fewSlots - 1, fewSlots - 1, 3*fewSlots - 3} {
-		t.Fatalf("left: marked %d used %v", g.marked, g.used)
+	if g.marked != 0 || g.inUse != [3]int{fewSlots - 1, fewSlots - 1, 3*fewSlots - 3} {
+		t.Fatalf("left: marked %d used %v", g.marked, g.inUse)
 	}
 }
 
 func TestShrunkReserveTakesNoneUntilItDrains(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(1)...)
 	g := r.g
-	g.n = 2 * fewSlots
-	g.used[partHigh] = 2*fewSlots - 2
-	g.size = [3]float64{2 * fewSlots, 0, 0}
+	g.limit = 2 * fewSlots
+	g.inUse[highReserve] = 2*fewSlots - 2
+	g.partSize = [3]float64{2 * fewSlots, 0, 0}
 	a, b := g.takeSlot(true), g.takeSlot(true)
-	g.size = [3]float64{fewSlots, fewSlots, 0}
+	g.partSize = [3]float64{fewSlots, fewSlots, 0}
 	if g.takeSlot(true) != nil {
 		t.Error("admitted above a shrunken reserve with no pool")
 	}
 	g.freeSlot(a)
 	g.freeSlot(b)
-	g.used[partHigh] -= fewSlots - 1
-	if g.takeSlot(true) == nil || g.used != [3]int{fewSlots, 0, 0} {
-		t.Errorf("the accounts do not fit after the change: %v", g.used)
+	g.inUse[highReserve] -= fewSlots - 1
+	if g.takeSlot(true) == nil || g.inUse != [3]int{fewSlots, 0, 0} {
+		t.Errorf("the accounts do not fit after the change: %v", g.inUse)
 	}
 }
 
@@ -88,9 +88,9 @@
 func TestASmallPartIsHeldOnAverage(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(4)...)
 	g := r.g
-	g.n, g.bestLat = 0.4, 0.1
-	g.size = [3]float64{0, 0, g.n}
-	g.busyAt = r.now
+	g.limit, g.bestLatency = 0.4, 0.1
+	g.partSize = [3]float64{0, 0, g.limit}
+	g.meanInUseAt = r.now
 	passed, busy := 0, 0.0
 	for range 2000 { // 20 s of arrivals every 10 ms, each held 100 ms
 		r.now += 10 * ms
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -31,7 +31,7 @@
 }
 
 // held is how many slots are taken.
-func held(g *Gateway) int { return g.used[partHigh] + g.used[partLow] + g.used[partPool] }
+func held(g *Gateway) int { return g.inUse[highReserve] + g.inUse[lowReserve] + g.inUse[sharedPool] }
 
 // rig drives one gateway by hand-made events.
 type rig struct {
--- a/internal/gateway/selection_test.go
+++ b/internal/gateway/selection_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// Of a hundred backends a door that hears from each once a minute learns nothing: it keeps to a few.
+// Of a hundred backends a gateway that hears from each once a minute learns nothing: it keeps to a few.
 func TestADoorKeepsToAsManyBackendsAsItCanKnow(t *testing.T) {
 	for _, c := range []struct {
 		rate      float64
@@ -81,7 +81,7 @@
 			r.outcome(id, s.Backend, n, Answered)
 		}
 	}
-	if last > 150 || r.g.order.Len() != 4 {
+	if last > 150 || r.g.ranking.Len() != 4 {
 		t.Errorf("the silent backend still got request %d", last)
 	}
 }
@@ -94,7 +94,7 @@
 	}{{8, 1, 2, 8}, {1, 8, 2, 30}, {75, 9, 4, 30}} {
 		r := newRig(t, testSettings(), fleet(2)...)
 		b := r.g.backends[1]
-		b.owed, b.slow, r.g.classes["safe"].lat = c.owed, c.slow, 0.1
+		b.overdue, b.slow, r.g.classes["safe"].latency = c.owed, c.slow, 0.1
 		n := 0
 		for to := BackendID(2); to != 1; n++ {
 			if n > c.most {
@@ -111,8 +111,8 @@
 	}
 }
 
-// Where most backends have just been replaced and each of many doors sends a request every few seconds to any one of
-// them, the cold ones together must get their part from the first seconds on, and no more than they can do.
+// Where most backends have just been replaced and each of many gateways sends a request every few seconds to any
+// one of them, the cold ones together must get their part from the first seconds on, and no more than they can do.
 func TestManyDoorsUseColdBackends(t *testing.T) {
 	const doors, backends, replaced, everyMS, length = 40, 20, 12, 200, 4 * second
 	s := testSettings()
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -8,9 +8,10 @@
 	"herontiller/internal/stats"
 )
 
-// How much of their quotas customers use over all gateways. One of many gateways meets most customers once, so it keeps
-// a distribution of the use for each plan, estimated from the meter's readings by empirical Bayes: the prior below
-// counts only until some dozens of readings of any plan are in, and these only until as many of the plan itself are.
+// How much of their quotas customers use over all gateways. One of many gateways meets most customers once, so it
+// keeps a distribution of the use for each plan, estimated from the meter's readings by empirical Bayes: the prior
+// below counts only until some dozens of readings of any plan are in, and these only until as many of the plan
+// itself are.
 
 const (
 	priorReadings = 4.0         // readings of a known use that the prior counts for, and all plans beside one
@@ -41,7 +42,7 @@
 func (g *Gateway) usageOf(plan *Plan) *planUsage {
 	u := g.usage[plan]
 	if u == nil {
-		typical := max(1, g.set.LargestUnits/4)
+		typical := max(1, g.settings.LargestUnits/4)
 		u = &planUsage{units: typical, squares: 1.5 * typical * typical, admitted: 1, group: g.population.AddGroup()}
 		u.use = g.population.Group(u.group)
 		g.usage[plan] = u
@@ -56,11 +57,11 @@
 	if c.plan.Rate <= 0 { // what such a plan's use is counted in
 		return half
 	}
-	return min(half, c.plan.Rate/max(c.usage.units, 1e-6)*g.meanLat)
+	return min(half, c.plan.Rate/max(c.usage.units, 1e-6)*g.meanLatency)
 }
 
-// requestTime is the time in which a customer that uses its whole quota sends one request, in seconds. It is that of a
-// request of the size that has the variance of the true sizes.
+// requestTime is the time in which a customer that uses its whole quota sends one request, in seconds. It is that
+// of a request of the size that has the variance of the true sizes.
 func (c *customer) requestTime() float64 {
 	if c.plan.Rate <= 0 {
 		return max(1e-6, c.period)
@@ -78,21 +79,21 @@
 }
 
 // useOf returns the distribution of the customer's use now. The readings tell of the use until the end of the last
-// period; it may have changed since, and then a request is the likelier to come from a customer the more it asks. This
-// gateway's own share of the arrivals since is evidence on the present.
+// period; it may have changed since, and then a request is the likelier to come from a customer the more it asks.
+// This gateway's own share of the arrivals since is evidence on the present.
 func (g *Gateway) useOf(c *customer) stats.Weights {
 	one, age := c.requestTime(), readingAge*c.period
 	use := *c.usage.use
-	from := max(g.boot, g.now-arrivalsFor)
-	if c.heard > 0 {
-		age = max(0, (g.now - c.storeAt).Seconds())
+	from := max(g.startedAt, g.now-arrivalsFor)
+	if c.meteredFor > 0 {
+		age = max(0, (g.now - c.bucketAt).Seconds())
 		fade := math.Pow(shareDecay, age/max(c.period, 1e-3))
 		likelihood := c.readings
 		if c.plan.Rate > 0 {
-			likelihood = usageGrid.Likelihood(fade*c.metered/100/one, fade*c.heard/one)
+			likelihood = usageGrid.Likelihood(fade*c.metered/100/one, fade*c.meteredFor/one)
 		}
 		use = use.Posterior(&likelihood)
-		from = c.storeAt
+		from = c.bucketAt
 	}
 	changed := 1 - math.Exp(-(age+c.period/2)/changeEvery.Seconds())
 	anew := c.usage.use.Posterior(&usageGrid.Rate)
@@ -105,23 +106,23 @@
 		for _, at := range c.arrivals {
 			count += float64(b2i(at >= from))
 		}
-		exposure := max(0, (g.now-from).Seconds()) / (one * c.share())
+		exposure := max(0, (g.now-from).Seconds()) / (one * c.fleetShare())
 		likelihood := usageGrid.Likelihood(c.usage.admitted*count, exposure)
 		use = use.Posterior(&likelihood)
 	}
 	return use
 }
 
-// excess returns the probability that a request of a customer of such a use is beyond its quota, by what other gateways
-// send. One of two gateways meets all of a customer's requests, and has its bucket to go by.
+// excess returns the probability that a request of a customer of such a use is beyond its quota, by what other
+// gateways send. One of two gateways meets all of a customer's requests, and has its bucket to go by.
 func (g *Gateway) excess(c *customer, use *stats.Weights, units float64) float64 {
 	limit := float64(c.plan.Open)
-	limited := c.plan.Open > 0 && limit < c.doors
-	out := c.othersShare() / (c.doors - 1) * g.outAtQuota(c) // of each of the other gateways
+	limited := c.plan.Open > 0 && limit < c.gateways
+	out := c.othersShare() / (c.gateways - 1) * g.outAtQuota(c) // of each of the other gateways
 	unseen := 0.0
 	var bucket stats.Bucket
 	if c.plan.Rate > 0 && units > 0 {
-		unseen = 1 - min(1, 2/c.doors)
+		unseen = 1 - min(1, 2/c.gateways)
 		bucket = g.bucket(c, units)
 	}
 	beyond := 0.0
@@ -134,7 +135,7 @@
 			inside -= unseen * bucket.Short(rate, usageGrid.Log(i))
 		}
 		if limited {
-			inside *= stats.BinomialBelow(c.plan.Open, c.doors-1, min(limit/c.doors, rate*out))
+			inside *= stats.BinomialBelow(c.plan.Open, c.gateways-1, min(limit/c.gateways, rate*out))
 		}
 		beyond += weight * (1 - inside)
 	}
@@ -144,24 +145,24 @@
 // bucket is what is known of the customer's token bucket, before a request of so many units.
 func (g *Gateway) bucket(c *customer, units float64) stats.Bucket {
 	one, rate := c.requestTime(), c.plan.Rate
-	filled := (g.now - g.boot).Seconds()
+	filled := (g.now - g.startedAt).Seconds()
 	b := stats.Bucket{Places: queueScale*max(1, c.plan.Burst/units) - queueLess, Filled: filled / one,
 		Full: (c.plan.Burst - units) / rate / one, Fresh: !g.metered && filled < drainsIn*c.plan.Burst/rate}
-	if c.heard == 0 {
+	if c.meteredFor == 0 {
 		return b
 	}
 	b.Known = 1 - math.Exp(-(g.now-c.followedFrom).Seconds()/min(longestFollow, c.plan.Burst/rate))
-	b.Spare = (c.store/100 - units/rate) / one
-	for _, d := range c.draws {
-		b.Spare -= d.pct / 100 / one
+	b.Spare = (c.bucket/100 - units/rate) / one
+	for _, d := range c.recentSends {
+		b.Spare -= d.percentSeconds / 100 / one
 	}
-	b.Refill = max(0, (g.now-c.storeAt).Seconds()) / one
+	b.Refill = max(0, (g.now-c.bucketAt).Seconds()) / one
 	b.Others = c.othersShare()
 	return b
 }
 
 // othersShare is the share of the customer's requests that other gateways send.
-func (c *customer) othersShare() float64 { return 1 - 1/c.share() }
+func (c *customer) othersShare() float64 { return 1 - 1/c.fleetShare() }
 
 // readingLikelihood returns how likely a reading is at each use: of a plan with a rate, as many requests as a Poisson
 // process sends in a period; of one without, as the most that its customer had out in the period at once.
@@ -171,7 +172,7 @@
 		return usageGrid.Likelihood(use*exposure, exposure)
 	}
 	most := int(min(mostRead, math.Round(use*float64(c.plan.Open))))
-	services := c.period / g.meanLat
+	services := c.period / g.meanLatency
 	var likelihood stats.Weights
 	for i, rate := range usageGrid.Rate {
 		out := rate * g.outAtQuota(c)
@@ -181,13 +182,14 @@
 	return likelihood
 }
 
-// learnUsage takes in a reading of a customer: the use in one period, in multiples of the quota. Requests were admitted
-// with a probability that went by the use, so each reading counts for as many requests as were rejected beside it.
+// learnUsage takes in a reading of a customer: the use in one period, in multiples of the quota. Requests were
+// admitted with a probability that went by the use, so each reading counts for as many requests as were rejected
+// beside it.
 func (g *Gateway) learnUsage(c *customer, use float64) {
 	if c.period <= 0 {
 		return
 	}
-	if g.now-g.boot < g.set.MeterPeriod { // a period that has ended by now began before the start
+	if g.now-g.startedAt < g.settings.MeterPeriod { // a period that has ended by now began before the start
 		g.metered = true
 	}
 	g.population.Add(stats.Sample{Likelihood: g.readingLikelihood(c, use), Group: c.usage.group,
