--- /dev/null
+++ b/cmd/standin/main.go
@@ -0,0 +1,59 @@
+// Command standin starts what a gateway needs around it, on the loopback interface: stand-in backends that answer at once,
+// and a discovery agent that lists them at the address that a configuration file of the gateway names. It prints the
+// command that starts the gateway and a request to try, and serves until it is interrupted.
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"github.com/alecthomas/kong"
+
+	"herontiller/internal/frontdoor"
+)
+
+// arguments are the command line's.
+type arguments struct {
+	Config   string `arg:"" default:"deploy/example.json" help:"Configuration file of the gateway (default: ${default})."`
+	Backends int    `default:"4" help:"Stand-in backends (default: ${default})."`
+}
+
+func main() {
+	var args arguments
+	kong.Parse(&args, kong.Name("standin"),
+		kong.Description("Starts stand-in backends and a discovery agent for a gateway, on the loopback interface."))
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
+	if err := run(ctx, args, os.Stdout); err != nil {
+		fmt.Fprintln(os.Stderr, "standin:", err)
+		os.Exit(1)
+	}
+}
+
+func run(ctx context.Context, args arguments, out io.Writer) error {
+	config, err := frontdoor.LoadConfig(args.Config)
+	if err != nil {
+		return err
+	}
+	request, err := exampleRequest(config)
+	if err != nil {
+		return err
+	}
+	environment, err := startEnvironment(config.Discovery, args.Backends)
+	if err != nil {
+		return err
+	}
+	defer environment.stop()
+	_, err = fmt.Fprintf(out, "%d backends; discovery at %s\n\nStart the gateway:\n\n    NODE_CONFIG=%s bin/herontiller\n\n"+
+		"Send a request, each with a new Request-Id:\n\n%s\n", args.Backends, environment.agent.Address, args.Config,
+		curlCommand(request))
+	if err != nil {
+		return err
+	}
+	<-ctx.Done()
+	return nil
+}
--- /dev/null
+++ b/cmd/standin/main_test.go
@@ -0,0 +1,166 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"herontiller/internal/frontdoor"
+)
+
+const exampleFile = "../../deploy/example.json"
+
+// loadExample loads the example with ports that are free.
+func loadExample(t *testing.T) frontdoor.Config {
+	t.Helper()
+	config, err := frontdoor.LoadConfig(exampleFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	config.Listen, config.Discovery = "127.0.0.1:0", "127.0.0.1:0"
+	return config
+}
+
+// startGateway serves a configuration as the program does, and returns its address.
+func startGateway(t *testing.T, config frontdoor.Config) string {
+	t.Helper()
+	loop, err := frontdoor.NewLoop(config, frontdoor.NewBackends(config))
+	if err != nil {
+		t.Fatal(err)
+	}
+	listener, err := net.Listen("tcp", config.Listen)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	listed, ended := make(chan struct{}, 16), make(chan error, 1)
+	go frontdoor.Follow(ctx, config, nil, func(list frontdoor.EndpointList) {
+		loop.Update(list)
+		select {
+		case listed <- struct{}{}:
+		default:
+		}
+	})
+	go func() { ended <- frontdoor.NewClients(config, loop).Run(ctx, listener) }()
+	t.Cleanup(func() {
+		stop()
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+		loop.Close()
+	})
+	select {
+	case <-listed:
+	case <-time.After(20 * time.Second):
+		t.Fatal("the stand-in's agent sent no list")
+	}
+	return listener.Addr().String()
+}
+
+func TestExampleIsServed(t *testing.T) {
+	config := loadExample(t)
+	environment, err := startEnvironment(config.Discovery, 4)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer environment.stop()
+	config.Discovery = environment.agent.Address
+	config.Listen = startGateway(t, config)
+	request, err := exampleRequest(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	client := http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	for id := range 10 {
+		request.Header.Set("Request-Id", fmt.Sprintf("%016x", id+1))
+		response, err := client.Do(request)
+		if err != nil {
+			t.Fatal(err)
+		}
+		body, err := io.ReadAll(response.Body)
+		response.Body.Close()
+		if response.StatusCode != http.StatusOK || string(body) != "ok" || err != nil {
+			t.Errorf("request %d: %s, %q, %v, want 200 and the stand-in's body", id+1, response.Status, body, err)
+		}
+	}
+}
+
+// The README shows the commands; they have to be those of the example.
+func TestREADMEShowsTheExample(t *testing.T) {
+	text, err := os.ReadFile("../../README.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	config, err := frontdoor.LoadConfig(exampleFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	request, err := exampleRequest(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{"    bin/standin deploy/example.json\n", "    NODE_CONFIG=deploy/example.json bin/herontiller\n",
+		"\n" + curlCommand(request) + "\n"} {
+		if !strings.Contains(string(text), want) {
+			t.Errorf("README.md does not show\n%s", want)
+		}
+	}
+}
+
+func TestRunPrintsTheCommands(t *testing.T) {
+	text, err := os.ReadFile(exampleFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "config.json")
+	text = bytes.Replace(text, []byte("127.0.0.1:8500"), []byte("127.0.0.1:0"), 1)
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	stop()
+	var out bytes.Buffer
+	if err := run(ctx, arguments{Config: path, Backends: 2}, &out); err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{"2 backends; discovery at 127.0.0.1:", "NODE_CONFIG=" + path + " bin/herontiller",
+		"curl -i http://127.0.0.1:8443/read/1"} {
+		if !strings.Contains(out.String(), want) {
+			t.Errorf("it printed\n%s\nwithout %q", out.String(), want)
+		}
+	}
+}
+
+func TestWhatItCannotStartWith(t *testing.T) {
+	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer taken.Close()
+	for _, c := range []struct {
+		name, discovery string
+		backends        int
+	}{
+		{"no backends", "127.0.0.1:0", 0},
+		{"too many backends", "127.0.0.1:0", mostBackends + 1},
+		{"no address", "discovery", 1},
+		{"every interface", "0.0.0.0:0", 1},
+		{"an address that is taken", taken.Addr().String(), 1},
+	} {
+		if environment, err := startEnvironment(c.discovery, c.backends); err == nil {
+			environment.stop()
+			t.Errorf("%s: it started", c.name)
+		}
+	}
+	if err := run(context.Background(), arguments{Config: filepath.Join(t.TempDir(), "none"), Backends: 1}, io.Discard); err == nil {
+		t.Error("it started without a configuration")
+	}
+}
--- a/internal/scalelab/agent.go
+++ b/internal/scalelab/agent.go
@@ -28,15 +28,22 @@
 
 const heartbeat = 2 * time.Second
 
-// StartAgent serves a list.
+// StartAgent serves a list at a free port.
 func StartAgent(hosts []frontdoor.Endpoint) (*Agent, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
+	return ServeAgent(listener, hosts)
+}
+
+// ServeAgent serves a list at an address that is given. It takes the listener over.
+func ServeAgent(listener net.Listener, hosts []frontdoor.Endpoint) (*Agent, error) {
 	agent := &Agent{Address: listener.Addr().String(), sequence: 1, changed: make(chan struct{}),
 		watches: map[chan struct{}]bool{}}
+	var err error
 	if agent.whole, err = listLine(1, true, hosts); err != nil {
+		listener.Close()
 		return nil, err
 	}
 	agent.server = &http.Server{Handler: agent}
