--- a/internal/gateway/staleness.go
+++ b/internal/gateway/staleness.go
@@ -4,14 +4,12 @@
 //
 // Discovery may be down, or have too much to do, for longer than a change may go unnoticed. A list that is older
 // than its lease can't tell which backends drain by now, and neither can one from before this process started: its
-// age is not known. Then only what a backend does itself vouches for it: one that serves an attempt was not
-// draining when that was sent, or had begun to a short while before. A backend that nothing vouches for is sent
-// nothing, and a request for which there is no other is refused at once. Where a gateway has little to send, it may
-// lose all of its backends in this way until discovery answers.
+// age is not known. Then only a backend that serves an attempt proves by it that it was not draining when that was
+// sent, or had begun to a short while before. One without proof is sent nothing, and a request for which there is no
+// other is rejected at once.
 
-// answerLease is the share of ListLease for which an answer vouches for its backend, from when its attempt was
-// sent. It is less than that of a list, as backends that drain were seen to serve new requests for up to 2.1 s
-// after discovery had listed them, and to turn them away from then on.
+// answerLease is the share of ListLease for which an answer proves that, from when its attempt was sent: backends
+// that drain were seen to serve new requests for up to 2.1 s after discovery had listed them.
 const answerLease = 1.0 / 2
 
 // confirm starts the list's lease anew: discovery has told all that it has.
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -26,13 +26,14 @@
 	drainsIn      = 10.0        // times that a bucket refills in within which it matters that it was full at the start
 	mostRead      = 64          // attempts out at once that a reading is taken to tell of at most
 	leastLikely   = 1e-6        // likelihood of a reading at any use: customers are not as regular as the formulas
+	leastExposure = 0.05        // requests expected at the whole quota under which no arrival is no evidence
 	leastWeight   = 0.002       // uses less likely are passed over
-	queueScale    = 1.5         // places for each request in a bucket, less queueLess, of a queue that is full as
-	queueLess     = 0.5         // often as the bucket has too little, within 0.04 at any use from 0.3 on
+	queueScale    = 1.5         // places, less queueLess, for each request in a bucket, of a queue that is full as often
+	queueLess     = 0.5         // as the bucket has too little, within 0.04
 )
 
 // usageGrid holds the uses, in multiples of the quota, that the distributions are kept over; priorUsage is what is
-// assumed of a request's customer before any reading: any use may be, and most requests come from those who ask much.
+// assumed of a request's customer before any reading.
 var (
 	usageGrid  = stats.NewGrid(stats.Weights{0.1, 0.2, 0.35, 0.5, 0.7, 0.85, 1, 1.25, 1.7, 2.4, 3.5, 5})
 	priorUsage = stats.Weights{0.05, 0.10, 0.12, 0.08, 0.08, 0.07, 0.06, 0.08, 0.12, 0.11, 0.08, 0.05}
@@ -41,12 +42,12 @@
 // usageOf returns what is known of a plan's customers.
 func (g *Gateway) usageOf(plan *Plan) *planUsage {
 	u := g.usage[plan]
-	if u == nil {
-		typical := max(1, g.settings.LargestUnits/4)
-		u = &planUsage{units: typical, squares: 1.5 * typical * typical, admitted: 1, group: g.population.AddGroup()}
-		u.use = g.population.Group(u.group)
-		g.usage[plan] = u
+	if u != nil {
+		return u
 	}
+	typical := max(1, g.settings.LargestUnits/4)
+	u = &planUsage{units: typical, squares: 1.5 * typical * typical, admitted: 1, group: g.population.AddGroup()}
+	u.use, g.usage[plan] = g.population.Group(u.group), u
 	return u
 }
 
@@ -107,8 +108,10 @@
 			count += float64(b2i(at >= from))
 		}
 		exposure := max(0, (g.now-from).Seconds()) / (one * c.fleetShare())
-		likelihood := usageGrid.Likelihood(c.usage.admitted*count, exposure)
-		use = use.Posterior(&likelihood)
+		if count > 0 || exposure > leastExposure {
+			likelihood := usageGrid.Likelihood(c.usage.admitted*count, exposure)
+			use = use.Posterior(&likelihood)
+		}
 	}
 	return use
 }
--- a/internal/stats/mixture.go
+++ b/internal/stats/mixture.go
@@ -52,8 +52,11 @@
 // AllGroups stands for the whole population.
 const AllGroups = -1
 
-// Refine returns the distribution of the rates in a group after some rounds of the EM algorithm from w on, with a
-// Dirichlet prior that counts for so many observations of a known rate.
+// settled is the sum of the changes of the weights in a round of the EM algorithm below which it ends.
+const settled = 0.01
+
+// Refine returns the distribution of the rates in a group after at most so many rounds of the EM algorithm from w on,
+// fewer where it has settled, with a Dirichlet prior that counts for so many observations of a known rate.
 func (w Weights) Refine(samples []Sample, group int, prior *Weights, observations float64, rounds int) Weights {
 	for range rounds {
 		var next Weights
@@ -78,10 +81,15 @@
 				next[i] += s.Weight * w[i] * s.Likelihood[i] / sum
 			}
 		}
+		change := 0.0
 		for i := range next {
 			next[i] /= total
+			change += math.Abs(next[i] - w[i])
 		}
 		w = next
+		if change < settled {
+			break
+		}
 	}
 	return w
 }
