--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -24,7 +24,7 @@
 // run serves until the input ends. An input that ends inside a batch is an error.
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
-	doors := map[int]*gateway.Gateway{}
+	instances := map[int]*gateway.Gateway{}
 	var reply bytes.Buffer
 	var actions []gateway.Action
 	var now time.Duration
@@ -44,9 +44,9 @@
 			}
 			continue
 		}
-		m, derr := wire.Decode(text)
-		if derr != nil {
-			return fmt.Errorf("line %d: %w", number, derr)
+		m, decodeErr := wire.Decode(text)
+		if decodeErr != nil {
+			return fmt.Errorf("line %d: %w", number, decodeErr)
 		}
 		switch {
 		case m.Clock != !inBatch:
@@ -65,11 +65,11 @@
 			if err != nil {
 				return fmt.Errorf("line %d: %w", number, err)
 			}
-			doors[m.Instance] = g
+			instances[m.Instance] = g
 		case m.Stop:
-			delete(doors, m.Instance)
+			delete(instances, m.Instance)
 		case m.Event != nil:
-			g := doors[m.Instance]
+			g := instances[m.Instance]
 			if g == nil {
 				return fmt.Errorf("line %d: an event for instance %d, which is not running", number, m.Instance)
 			}
--- a/internal/frontdoor/attempts_test.go
+++ b/internal/frontdoor/attempts_test.go
@@ -32,7 +32,7 @@
 		t.Run(how, func(t *testing.T) {
 			got := make(chan int, 1)
 			g := script(sendTo(1)) // and never a Cancel
-			d := openDoor(t, g, listen(t), raw(t, func(n int, _ net.Conn) { got <- n }))
+			d := serveInstance(t, g, listen(t), raw(t, func(n int, _ net.Conn) { got <- n }))
 			dialing, goOn := gatedDials(d.loop.backends)
 			conn := dialAll(t, d.addr, 1)[0]
 			io.WriteString(conn, d.text(t, "pay", "00000000000000a1"))
@@ -50,9 +50,9 @@
 	}
 }
 
-// deafDoor is a listener whose connections never tell the server's watch that the client has left, as if the process did
+// deafListener is a listener whose connections never tell the server's watch that the client has left, as if the process did
 // not come to it: a watch reads into a buffer of its own size.
-type deafDoor struct {
+type deafListener struct {
 	*net.TCPListener
 	conns chan net.Conn
 	end   chan bool
@@ -63,7 +63,7 @@
 	end chan bool
 }
 
-func (l *deafDoor) Accept() (net.Conn, error) {
+func (l *deafListener) Accept() (net.Conn, error) {
 	c, err := l.TCPListener.Accept()
 	if err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 }
 
 func (c *deafConn) Read(p []byte) (int, error) {
-	if len(p) == watchBuffer {
+	if len(p) == watchBufferSize {
 		<-c.end
 	}
 	return c.TCPConn.Read(p)
@@ -106,9 +106,9 @@
 					}
 					return nil
 				})
-				ln := &deafDoor{listen(t), make(chan net.Conn, 1), make(chan bool)}
+				ln := &deafListener{listen(t), make(chan net.Conn, 1), make(chan bool)}
 				defer close(ln.end)
-				d := openDoor(t, g, ln, addr)
+				d := serveInstance(t, g, ln, addr)
 				dialing, goOn := gatedDials(d.loop.backends)
 				conn := dialAll(t, d.addr, 1)[0]
 				near := <-ln.conns
@@ -123,7 +123,7 @@
 					<-began
 				}
 				leave(conn)
-				for end := time.Now().Add(patient); pending(near) != ended; {
+				for end := time.Now().Add(patient); peekSocket(near) != peerClosed; {
 					if time.Now().After(end) {
 						t.Fatal("the leaving was never to be seen")
 					}
@@ -169,7 +169,7 @@
 		}
 		return nil
 	})
-	d := openDoor(t, g, listen(t), raw(t, func(n int, _ net.Conn) { got <- n }))
+	d := serveInstance(t, g, listen(t), raw(t, func(n int, _ net.Conn) { got <- n }))
 	conn := dialAll(t, d.addr, 1)[0]
 	io.WriteString(conn, d.text(t, "pay", "00000000000000a1"))
 	if out := next[gateway.Outcome](t, g); out.Result != gateway.NotSent || out.Final {
@@ -256,13 +256,13 @@
 		}
 		return nil
 	})
-	d := openDoor(t, g, listen(t), addr)
+	d := serveInstance(t, g, listen(t), addr)
 	conn := dialAll(t, d.addr, 1)[0]
 	io.WriteString(conn, d.text(t, "look", "00000000000000a1"))
 	first := <-read
 	d.loop.post(gateway.Timer{})
 	<-read // the next one's bytes have come
-	for end := time.Now().Add(patient); pending(first) != ended; {
+	for end := time.Now().Add(patient); peekSocket(first) != peerClosed; {
 		if time.Now().After(end) {
 			t.Fatal("the first attempt's connection is open")
 		}
@@ -288,11 +288,11 @@
 			t.Fatalf("the first was answered %q", r.body)
 		}
 		b.mu.Lock()
-		at := b.byID[id].place
+		at := b.byID[id].endpoint
 		b.mu.Unlock()
 		b.pool.mu.Lock()
 		answered := time.Now().Add(-10 * time.Millisecond)
-		at.idle[0].since = answered
+		at.idle[0].idleSince = answered
 		b.pool.mu.Unlock()
 		r := b.send(t.Context(), t.Context(), id, lookMessage)
 		if time.Since(answered) > 40*time.Millisecond {
--- a/internal/frontdoor/backends.go
+++ b/internal/frontdoor/backends.go
@@ -27,26 +27,26 @@
 	probeTimeout = time.Second
 	// A kept connection is dropped when it has been idle for this share of the time after which the backend
 	// may close it: a request that crosses the close may have run.
-	idleShare = 0.6
+	idleFraction = 0.6
 	// An answer that has begun and does not end within answerTime is a spoilt one: backends write theirs at once.
-	answerTime = 500 * time.Millisecond
-	maxHead    = 16 << 10 // of an answer, 1xx answers ahead of it among it
-	maxUse     = 10_000   // percent; a figure over it is no customer's use
+	responseTimeout = 500 * time.Millisecond
+	maxResponseHead = 16 << 10 // of an answer, 1xx answers ahead of it among it
+	maxUsagePercent = 10_000   // percent; a figure over it is no customer's use
 )
 
 // message is a client's request as it goes on to a backend, with each attempt.
 type message struct {
-	method string
-	target string // path and query as they came
-	host   string
-	header http.Header
-	body   []byte
-	left   func() bool // tells whether its client has left, and ends the request if so; nil: nobody can leave
+	method       string
+	target       string // path and query as they came
+	host         string
+	header       http.Header
+	body         []byte
+	disconnected func() bool // tells whether its client has left, and ends the request if so; nil: nobody can leave
 }
 
-// unwanted tells whether a request must not go on any more.
-func (m *message) unwanted(unsent context.Context) bool {
-	return unsent.Err() != nil || m.left != nil && m.left()
+// cancelled tells whether a request must not go on any more.
+func (m *message) cancelled(unsent context.Context) bool {
+	return unsent.Err() != nil || m.disconnected != nil && m.disconnected()
 }
 
 // reply is how an attempt ended and, if it was answered, with what.
@@ -54,25 +54,25 @@
 	result      gateway.Result
 	contentType []string
 	body        []byte
-	hasUse      bool
-	use         float64
+	hasUsage    bool
+	usage       float64
 	load        []float64
 }
 
 // backend is one entry of the list of backends. Its fields other than id are guarded by Backends.mu.
 type backend struct {
-	id    gateway.BackendID
-	born  int64
-	state gateway.BackendState
-	place *place
+	id        gateway.BackendID
+	startedMS int64
+	state     gateway.BackendState
+	endpoint  *endpointPool
 }
 
 // Backends sends attempts to the backends that discovery has named, over kept connections.
 type Backends struct {
-	pool     *pool
-	columns  []string // names of load figures as in the header, in the order of the settings
-	reports  bool     // there are load reports, so probes ask for one
-	faultLog rate.Sometimes
+	pool        *pool
+	loadColumns []string // names of load figures as in the header, in the order of the settings
+	loadReports bool     // there are load reports, so probes ask for one
+	failureLog  rate.Sometimes
 
 	mu     sync.Mutex
 	lastID gateway.BackendID
@@ -87,14 +87,15 @@
 // NewBackends knows no backends yet.
 func NewBackends(c Config) *Backends {
 	dialer := &net.Dialer{Timeout: c.Conns.Connect, KeepAlive: -1}
-	b := &Backends{reports: len(c.Settings.LoadColumns) > 0, faultLog: rate.Sometimes{First: 10, Interval: time.Second},
-		pool:   newPool(dialer.DialContext, c.Limits.backendConns(), time.Duration(idleShare*float64(c.Conns.Idle))),
-		byHost: map[string]*backend{}, byID: map[gateway.BackendID]*backend{}}
+	b := &Backends{loadReports: len(c.Settings.LoadColumns) > 0,
+		failureLog: rate.Sometimes{First: 10, Interval: time.Second},
+		pool:       newPool(dialer.DialContext, c.Limits.backendConns(), time.Duration(idleFraction*float64(c.Conns.Idle))),
+		byHost:     map[string]*backend{}, byID: map[gateway.BackendID]*backend{}}
 	for _, name := range c.Settings.LoadColumns {
 		if short, ok := columnNames[name]; ok {
 			name = short
 		}
-		b.columns = append(b.columns, name)
+		b.loadColumns = append(b.loadColumns, name)
 	}
 	return b
 }
@@ -119,13 +120,13 @@
 			be = &backend{id: b.lastID}
 			b.byHost[e.Host], b.byID[be.id] = be, be
 		}
-		if be.place == nil || be.place.addr != e.Dial && e.Dial != "" || be.born != e.BornMS {
-			if be.place != nil {
-				b.pool.clear(be.place) // its connections lead to what was there before
+		if be.endpoint == nil || be.endpoint.addr != e.Dial && e.Dial != "" || be.startedMS != e.BornMS {
+			if be.endpoint != nil {
+				b.pool.closeEndpoint(be.endpoint) // its connections lead to what was there before
 			}
-			be.place = &place{addr: e.Dial}
+			be.endpoint = &endpointPool{addr: e.Dial}
 		}
-		be.born, be.state = e.BornMS, states[e.Health]
+		be.startedMS, be.state = e.BornMS, states[e.Health]
 		infos = append(infos, gateway.BackendInfo{ID: be.id, State: be.state, Zone: e.Site, Kind: e.Class, Cell: e.Block,
 			Started: c.unixMilli(e.BornMS), Weight: e.Share})
 	}
@@ -144,42 +145,43 @@
 // forgetGone forgets a backend that is gone. If it comes back it is a new one, to the gateway as well.
 func (b *Backends) forgetGone(host string, be *backend) {
 	if be != nil && be.state == gateway.Gone {
-		b.pool.clear(be.place)
+		b.pool.closeEndpoint(be.endpoint)
 		delete(b.byHost, host)
 		delete(b.byID, be.id)
 	}
 }
 
-// ready gives the place of a backend that may be sent something now, else nil.
-func (b *Backends) ready(id gateway.BackendID) *place {
+// readyEndpoint gives the place of a backend that may be sent something now, else nil.
+func (b *Backends) readyEndpoint(id gateway.BackendID) *endpointPool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if be := b.byID[id]; be != nil && be.state == gateway.Ready {
-		return be.place
+		return be.endpoint
 	}
 	return nil
 }
 
-// errStale ends an attempt that is no longer wanted where its connection leads.
-var errStale = errors.New("the backend may be sent nothing new")
+// errAttemptObsolete ends an attempt that is no longer wanted where its connection leads.
+var errAttemptObsolete = errors.New("the backend may be sent nothing new")
 
 // send makes one attempt and tells how it ended. It never sends twice. unsent is of ctx, and may end before it: then
 // what has not been written whole by then is not sent any more.
 func (b *Backends) send(ctx, unsent context.Context, id gateway.BackendID, m *message) *reply {
 	r := &reply{result: gateway.NotSent}
-	at := b.ready(id)
-	if at == nil || unsent.Err() != nil {
+	endpoint := b.readyEndpoint(id)
+	if endpoint == nil || unsent.Err() != nil {
 		return r
 	}
-	c, err := b.write(ctx, unsent, id, at, m)
+	c, err := b.write(ctx, unsent, id, endpoint, m)
 	if err != nil {
-		if unsent.Err() == nil && !errors.Is(err, errStale) && !errors.Is(err, errFull) && !errors.Is(err, syscall.EMFILE) {
+		if unsent.Err() == nil && !errors.Is(err, errAttemptObsolete) && !errors.Is(err, errPoolFull) &&
+			!errors.Is(err, syscall.EMFILE) {
 			r.result = gateway.NoConnection
 		}
 		if context.Cause(ctx) == context.Canceled {
 			r.result = gateway.Cancelled
 		}
-		b.fault(at, err)
+		b.logFailure(endpoint, err)
 		return r
 	}
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
@@ -187,7 +189,7 @@
 	if stop() && err == nil && keep {
 		b.pool.put(c)
 	} else {
-		b.pool.drop(c)
+		b.pool.close(c)
 	}
 	switch {
 	case err == nil:
@@ -198,31 +200,32 @@
 	case ctx.Err() != nil:
 		r.result = gateway.TimedOut
 		return r
-	case errors.Is(err, errEnded):
+	case errors.Is(err, errConnClosed):
 		r.result = gateway.Broken
 	default: // spoilt: the backend is as well as before, and the request may have run
 		r.result = gateway.Unknown
 	}
-	b.fault(at, err)
+	b.logFailure(endpoint, err)
 	return r
 }
 
-func (b *Backends) fault(at *place, err error) {
-	b.faultLog.Do(func() { slog.Warn("an attempt broke", "backend", at.addr, "err", err) })
+func (b *Backends) logFailure(endpoint *endpointPool, err error) {
+	b.failureLog.Do(func() { slog.Warn("an attempt broke", "backend", endpoint.addr, "err", err) })
 }
 
 // write sends a request whole, unless unsent ends before. An error means that its last byte was not written, so it has
 // never run. A kept connection that turns out to be dead before then is made up for by a new one.
-func (b *Backends) write(ctx, unsent context.Context, id gateway.BackendID, at *place, m *message) (*kept, error) {
+func (b *Backends) write(ctx, unsent context.Context, id gateway.BackendID, endpoint *endpointPool,
+	m *message) (*pooledConn, error) {
 	for fresh := false; ; fresh = true {
-		c, err := b.pool.get(unsent, at, fresh)
+		c, err := b.pool.get(unsent, endpoint, fresh)
 		if err != nil {
 			return nil, err
 		}
 		// A connection may have taken long to come up, and whoever tells that the client has left may be late.
-		if b.ready(id) != at || m.unwanted(unsent) {
-			b.pool.drop(c)
-			return nil, errStale
+		if b.readyEndpoint(id) != endpoint || m.cancelled(unsent) {
+			b.pool.close(c)
+			return nil, errAttemptObsolete
 		}
 		text, err := m.encode(ctx)
 		if err == nil {
@@ -232,20 +235,20 @@
 		if err == nil {
 			return c, nil
 		}
-		b.pool.drop(c)
-		if !c.used || unsent.Err() != nil {
+		b.pool.close(c)
+		if !c.hasServed || unsent.Err() != nil {
 			return nil, err
 		}
 	}
 }
 
-// writeTurn is how long a write that the other side does not take goes on until it looks whether it is still wanted.
-const writeTurn = 50 * time.Millisecond
+// writeSlice is how long a write that the other side does not take goes on until it looks whether it is still wanted.
+const writeSlice = 50 * time.Millisecond
 
 // writeAll writes a text whole, unless unsent ends before.
-func (c *kept) writeAll(unsent context.Context, text []byte) error {
+func (c *pooledConn) writeAll(unsent context.Context, text []byte) error {
 	for len(text) > 0 {
-		c.SetWriteDeadline(time.Now().Add(writeTurn))
+		c.SetWriteDeadline(time.Now().Add(writeSlice))
 		n, err := c.Write(text)
 		text = text[n:]
 		if ne, ok := err.(net.Error); ok && ne.Timeout() && unsent.Err() == nil {
@@ -276,20 +279,20 @@
 }
 
 var (
-	errEnded  = errors.New("the connection ended before an answer")
-	errLength = errors.New("the answer does not tell its length")
-	errSwitch = errors.New("the answer switches protocols")
+	errConnClosed     = errors.New("the connection ended before an answer")
+	errNoLength       = errors.New("the answer does not tell its length")
+	errProtocolSwitch = errors.New("the answer switches protocols")
 )
 
 // read takes in a whole answer, and tells whether the backend leaves the connection open. An error means that
 // there was no answer that can be used.
-func (b *Backends) read(ctx context.Context, c *kept, m *message, r *reply) (keep bool, err error) {
-	c.bound.left = maxHead
+func (b *Backends) read(ctx context.Context, c *pooledConn, m *message, r *reply) (keep bool, err error) {
+	c.limit.remaining = maxResponseHead
 	if _, err := c.r.Peek(1); err != nil {
-		return false, fmt.Errorf("%w: %w", errEnded, err)
+		return false, fmt.Errorf("%w: %w", errConnClosed, err)
 	}
 	// The context's end may have set a deadline already, which this must not undo.
-	c.SetReadDeadline(time.Now().Add(answerTime))
+	c.SetReadDeadline(time.Now().Add(responseTimeout))
 	if err := ctx.Err(); err != nil {
 		return false, err
 	}
@@ -300,7 +303,7 @@
 	if err != nil {
 		return false, err
 	}
-	body, err := readAnswer(c, res)
+	body, err := readResponseBody(c, res)
 	if err != nil {
 		return false, err
 	}
@@ -313,45 +316,45 @@
 	default:
 		r.result = gateway.AnsweredErr // it may have run
 	}
-	if v, err := strconv.ParseFloat(res.Header.Get("X-RateLimit-Used"), 64); err == nil && v >= 0 && v <= maxUse {
-		r.hasUse, r.use = true, v
+	if v, err := strconv.ParseFloat(res.Header.Get("X-RateLimit-Used"), 64); err == nil && v >= 0 && v <= maxUsagePercent {
+		r.hasUsage, r.usage = true, v
 	}
 	r.load = b.parseLoad(res.Header.Get("Server-Load"))
 	return !res.Close, nil
 }
 
-// readAnswer reads an answer's body. One that only the connection's end would end can't be told from a cut one.
-func readAnswer(c *kept, res *http.Response) ([]byte, error) {
-	c.bound.left = 2 * maxBody // chunks take more room than what is in them
+// readResponseBody reads an answer's body. One that only the connection's end would end can't be told from a cut one.
+func readResponseBody(c *pooledConn, res *http.Response) ([]byte, error) {
+	c.limit.remaining = 2 * maxBody // chunks take more room than what is in them
 	switch {
 	case res.StatusCode == http.StatusSwitchingProtocols:
-		return nil, errSwitch
+		return nil, errProtocolSwitch
 	case res.ContentLength > maxBody:
-		return nil, errBig
+		return nil, errTooLarge
 	case res.ContentLength >= 0:
 		body := make([]byte, res.ContentLength)
 		_, err := io.ReadFull(res.Body, body)
 		return body, err
 	case len(res.TransferEncoding) == 0:
-		return nil, errLength
+		return nil, errNoLength
 	}
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxBody+1))
 	if err == nil && len(body) > maxBody {
-		err = errBig
+		err = errTooLarge
 	}
 	return body, err
 }
 
 // parseLoad reads a load report such as "queue=2,qps=31"; nil if it does not hold all that the settings name.
 func (b *Backends) parseLoad(text string) []float64 {
-	if text == "" || len(b.columns) == 0 {
+	if text == "" || len(b.loadColumns) == 0 {
 		return nil
 	}
-	load := make([]float64, len(b.columns))
+	load := make([]float64, len(b.loadColumns))
 	found := 0
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
-		for i, column := range b.columns {
+		for i, column := range b.loadColumns {
 			if name == column {
 				v, err := strconv.ParseFloat(value, 64)
 				if err != nil || !(v >= 0) || math.IsInf(v, 0) {
@@ -372,7 +375,7 @@
 func (b *Backends) probe(id gateway.BackendID) gateway.ProbeResult {
 	out := gateway.ProbeResult{Backend: id}
 	m := &message{method: http.MethodGet, target: "/health", header: http.Header{}}
-	if b.reports {
+	if b.loadReports {
 		m.target = "/status/load"
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
@@ -380,7 +383,7 @@
 	start := time.Now()
 	r := b.send(ctx, ctx, id, m)
 	out.Result, out.Took, out.Load = r.result, time.Since(start), r.load
-	if b.reports && r.result == gateway.Answered {
+	if b.loadReports && r.result == gateway.Answered {
 		out.Load = b.parseLoad(strings.TrimSpace(string(r.body)))
 	}
 	return out
--- a/internal/frontdoor/backends_failure_test.go
+++ b/internal/frontdoor/backends_failure_test.go
@@ -22,7 +22,7 @@
 				conns[conn] = true
 				if late {
 					io.WriteString(conn, okReply)
-					time.Sleep(restTime / 2)
+					time.Sleep(reuseCooldown / 2)
 					io.WriteString(conn, surplus)
 				} else {
 					io.WriteString(conn, okReply+surplus)
@@ -33,7 +33,7 @@
 				if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.Answered || string(r.body) != "ok" {
 					t.Errorf("%s: %v %q", name, r.result, r.body)
 				}
-				time.Sleep(2 * restTime)
+				time.Sleep(2 * reuseCooldown)
 			}
 			if len(conns) != 3 {
 				t.Errorf("%s: 3 requests on %d connections", name, len(conns))
@@ -65,7 +65,7 @@
 	close(goOn)
 	await(t, done, "the first answer")
 	await(t, done, "the second answer")
-	time.Sleep(2 * restTime)
+	time.Sleep(2 * reuseCooldown)
 	if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.Unknown {
 		t.Errorf("a spoilt answer ended as %v", r.result)
 	}
@@ -130,10 +130,10 @@
 			}
 			list := ready(serve(t, handler), serve(t, handler))
 			list.Hosts[1].Block = c.block
-			d := startDoor(t, nil)
+			d := startInstance(t, nil)
 			d.loop.Update(list)
 			ask := func(id int, timeout string) (*http.Response, string) {
-				return do(t, d.ask(t, c.class, func(r *http.Request) {
+				return do(t, d.newRequest(t, c.class, func(r *http.Request) {
 					r.Header.Set("Request-Id", fmt.Sprintf("%016x", id))
 					r.Header.Set("Request-Timeout", timeout)
 				}))
@@ -181,10 +181,10 @@
 	}
 	list := ready(serve(t, handler(1)), serve(t, handler(2)))
 	list.Hosts[1].Block = 1 // so that a keyed attempt can't be made elsewhere
-	d := startDoor(t, nil)
+	d := startInstance(t, nil)
 	d.loop.Update(list)
 	ask := func(id int, timeout string) int {
-		res, _ := do(t, d.ask(t, "pay", func(r *http.Request) {
+		res, _ := do(t, d.newRequest(t, "pay", func(r *http.Request) {
 			r.Header.Set("Request-Id", fmt.Sprintf("%016x", id))
 			r.Header.Set("Request-Timeout", timeout)
 		}))
@@ -216,7 +216,7 @@
 func TestReadingsOutOfOrderRefuseNobody(t *testing.T) {
 	t.Parallel()
 	var asked atomic.Int64
-	d := startDoor(t, nil, serve(t, func(w http.ResponseWriter, r *http.Request) {
+	d := startInstance(t, nil, serve(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-RateLimit-Used", fmt.Sprint(40+asked.Add(1)%2))
 		io.WriteString(w, "ok")
 	}))
@@ -224,7 +224,7 @@
 	defer pace.Stop()
 	for id := range 34 {
 		<-pace.C
-		res, _ := do(t, d.ask(t, "look", func(r *http.Request) {
+		res, _ := do(t, d.newRequest(t, "look", func(r *http.Request) {
 			r.Header.Set("Request-Id", fmt.Sprintf("%016x", id))
 			r.Header.Set("X-Tier", "tiny")
 			r.Header.Set("X-Call-Terms", "units=0.05,spread=1,first=0") // 0.19 units a second of 0.5
--- a/internal/frontdoor/backends_test.go
+++ b/internal/frontdoor/backends_test.go
@@ -48,7 +48,7 @@
 		if r := b.send(ctx, ctx, id, m); r.result != gateway.Answered {
 			t.Fatalf("%s: first attempt ended as %v", name, r.result)
 		}
-		time.Sleep(2 * restTime) // so that the second takes the same connection
+		time.Sleep(2 * reuseCooldown) // so that the second takes the same connection
 		if r := b.send(ctx, ctx, id, m); r.result != gateway.Broken {
 			t.Errorf("%s: on a connection that broke the attempt ended as %v, want Broken", name, r.result)
 		}
@@ -103,7 +103,7 @@
 		"not HTTP":            {text("\x00\x01garbage\r\n\r\n"), gateway.Unknown},
 		"body never ends":     {open("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), gateway.Unknown},
 		"head never ends":     {open("HTTP/1.1 200 OK\r\nA: b\r\n"), gateway.Unknown},
-		"head over the limit": {open("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", maxHead)), gateway.Unknown},
+		"head over the limit": {open("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", maxResponseHead)), gateway.Unknown},
 		"3 GB announced":      {open("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok"), gateway.Unknown},
 		"two lengths":         {open("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok"), gateway.Unknown},
 		"negative length":     {open("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"), gateway.Unknown},
@@ -111,7 +111,7 @@
 		"bad chunks":          {open("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok"), gateway.Unknown},
 		"chunks over the limit": {open("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 3)), gateway.Unknown},
-		"1xx without end":         {open(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", maxHead/20)), gateway.Unknown},
+		"1xx without end":         {open(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", maxResponseHead/20)), gateway.Unknown},
 		"1xx ahead":               {open("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nA: b\r\n\r\n" + okReply), gateway.Answered},
 		"switch":                  {open("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"), gateway.Unknown},
 		"chunks":                  {open("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), gateway.Answered},
@@ -122,8 +122,8 @@
 	} {
 		b, id := attempts(t, raw(t, c.answer))
 		ctx, cancel := context.WithTimeout(t.Context(), patient)
-		if r := b.send(ctx, ctx, id, payMessage); r.result != c.want || r.hasUse || r.load != nil {
-			t.Errorf("%s: %v, want %v; use %v, load %v", name, r.result, c.want, r.hasUse, r.load)
+		if r := b.send(ctx, ctx, id, payMessage); r.result != c.want || r.hasUsage || r.load != nil {
+			t.Errorf("%s: %v, want %v; use %v, load %v", name, r.result, c.want, r.hasUsage, r.load)
 		}
 		cancel()
 	}
@@ -162,8 +162,8 @@
 		w.Header().Set("Server-Load", "qps=31.5, queue=2,new=7")
 	}))
 	r := b.send(t.Context(), t.Context(), id, lookMessage)
-	if !r.hasUse || r.use != 85 || !slices.Equal(r.load, []float64{2, 31.5}) {
-		t.Errorf("use %v %v, load %v", r.hasUse, r.use, r.load)
+	if !r.hasUsage || r.usage != 85 || !slices.Equal(r.load, []float64{2, 31.5}) {
+		t.Errorf("use %v %v, load %v", r.hasUsage, r.usage, r.load)
 	}
 }
 
@@ -238,7 +238,7 @@
 		if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.Answered {
 			t.Fatal(r.result)
 		}
-		time.Sleep(2 * restTime)
+		time.Sleep(2 * reuseCooldown)
 	}
 	if n := len(conns); n != 1 {
 		t.Errorf("%d connections for 5 attempts, one after another", n)
--- a/internal/frontdoor/clients.go
+++ b/internal/frontdoor/clients.go
@@ -24,45 +24,45 @@
 	// reach it before that time is up. So the gateway is told of less time by the first margin, and the last
 	// moment, at which a request without an answer is answered here, lies the second margin before the end. Of a short
 	// time they take a share only.
-	gatewayMargin    = 40 * time.Millisecond
-	lastMomentMargin = 20 * time.Millisecond
-	marginShare      = 8 // of the client's time, the gateway's margin takes one part of so many at most
+	gatewayMargin  = 40 * time.Millisecond
+	responseMargin = 20 * time.Millisecond
+	marginDivisor  = 8 // of the client's time, the gateway's margin takes one part of so many at most
 
 	maxCustomer = 1 << 33
 
 	// A client that sends no whole request within headTime and bodyTime of its beginning is not one of ours. A new
 	// connection's head counts from its accept.
-	headTime = 1500 * time.Millisecond
-	bodyTime = time.Second
-	idleTime = 15 * time.Second // that a client may keep a connection without a request
+	headTimeout = 1500 * time.Millisecond
+	bodyTimeout = time.Second
+	idleTimeout = 15 * time.Second // that a client may keep a connection without a request
 
 	// After SIGTERM new connections are taken for at least drainLeast, then until none has come for
 	// drainQuiet, and for no longer than drainMost. The platform kills us no sooner than drainMost after the
 	// longest deadline, or after killCounts if that is shorter.
-	drainLeast = 500 * time.Millisecond
+	drainMin   = 500 * time.Millisecond
 	drainQuiet = 150 * time.Millisecond
-	drainMost  = 700 * time.Millisecond
-	killCounts = 3 * time.Second
-	drainLook  = 10 * time.Millisecond // between two looks at what is still open
+	drainMax   = 700 * time.Millisecond
+	killGrace  = 3 * time.Second
+	drainPoll  = 10 * time.Millisecond // between two looks at what is still open
 
 	// Where the list has to be asked for, a new process may send to nobody before it has one, and is not ready for clients.
 	// It is all the same after this time: a restarted one has to be within 6 s.
-	listWait = 5 * time.Second
+	firstListTimeout = 5 * time.Second
 )
 
 // Clients is the side of the front door that clients see.
 type Clients struct {
-	loop     *Loop
-	settings gateway.Settings
-	classes  map[string]gateway.Class
-	plans    map[string]bool
-	started  time.Time
-	longest  time.Duration // of all deadlines
-	conns    *connTable
-	killed   atomic.Pointer[time.Time] // when the platform may kill this process; nil before SIGTERM
-	lastConn atomic.Int64              // when the last connection was accepted, Unix time in nanoseconds
-	badLog   rate.Sometimes
-	lateLog  rate.Sometimes
+	loop          *Loop
+	settings      gateway.Settings
+	classes       map[string]gateway.Class
+	plans         map[string]bool
+	started       time.Time
+	maxDeadline   time.Duration // of all deadlines
+	conns         *connTable
+	killTime      atomic.Pointer[time.Time] // when the platform may kill this process; nil before SIGTERM
+	lastConn      atomic.Int64              // when the last connection was accepted, Unix time in nanoseconds
+	badRequestLog rate.Sometimes
+	timeoutLog    rate.Sometimes
 }
 
 // NewClients serves clients from a loop.
@@ -70,10 +70,11 @@
 	settings := config.Settings
 	c := &Clients{loop: loop, settings: settings, started: time.Now(), conns: newConnTable(config.Limits.clientConns()),
 		classes: map[string]gateway.Class{}, plans: map[string]bool{},
-		badLog: rate.Sometimes{First: 10, Interval: time.Second}, lateLog: rate.Sometimes{First: 10, Interval: time.Second}}
+		badRequestLog: rate.Sometimes{First: 10, Interval: time.Second},
+		timeoutLog:    rate.Sometimes{First: 10, Interval: time.Second}}
 	for _, class := range settings.Classes {
 		c.classes[class.Name] = class
-		c.longest = max(c.longest, class.Deadline)
+		c.maxDeadline = max(c.maxDeadline, class.Deadline)
 	}
 	for _, plan := range settings.Plans {
 		c.plans[plan.Name] = true
@@ -86,18 +87,18 @@
 func (c *Clients) Run(ctx context.Context, listener net.Listener) error {
 	srv := &http.Server{
 		Handler:           c,
-		ReadHeaderTimeout: headTime,
+		ReadHeaderTimeout: headTimeout,
 		// There is no ReadTimeout: it would also run while a request waits for its answer, and a read that times
 		// out then would look as if the client had gone. Bodies have a limit of their own.
-		WriteTimeout:   c.longest + 10*time.Second,
-		IdleTimeout:    idleTime,
+		WriteTimeout:   c.maxDeadline + 10*time.Second,
+		IdleTimeout:    idleTimeout,
 		MaxHeaderBytes: 16 << 10,
 		ErrorLog:       slog.NewLogLogger(slog.Default().Handler(), slog.LevelWarn),
 		ConnState: func(conn net.Conn, s http.ConnState) {
 			if s == http.StateNew {
 				c.lastConn.Store(time.Now().UnixNano())
 			}
-			c.conns.note(conn, s)
+			c.conns.connStateChanged(conn, s)
 		},
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, conn)
@@ -119,44 +120,44 @@
 // yet, and closes idle ones whatever has come on them.
 func (c *Clients) drain(accepts *clientListener, ended <-chan error) error {
 	start := time.Now()
-	killed := start.Add(drainMost + min(c.longest, killCounts))
-	c.killed.Store(&killed)
-	for time.Since(start) < drainLeast ||
-		time.Since(start) < drainMost && time.Since(time.Unix(0, c.lastConn.Load())) < drainQuiet {
-		time.Sleep(drainLook)
+	killed := start.Add(drainMax + min(c.maxDeadline, killGrace))
+	c.killTime.Store(&killed)
+	for time.Since(start) < drainMin ||
+		time.Since(start) < drainMax && time.Since(time.Unix(0, c.lastConn.Load())) < drainQuiet {
+		time.Sleep(drainPoll)
 	}
-	if err := accepts.finish(); err != nil {
+	if err := accepts.stopAccepting(); err != nil {
 		return fmt.Errorf("end of listening: %w", err)
 	}
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("end of listening: %w", err)
 	}
-	for c.conns.closeQuiet(drainQuiet) > 0 && time.Since(start) < drainMost+c.longest {
-		time.Sleep(drainLook)
+	for c.conns.closeIdle(drainQuiet) > 0 && time.Since(start) < drainMax+c.maxDeadline {
+		time.Sleep(drainPoll)
 	}
 	return nil
 }
 
-// lastAnswer tells the client, once this process is to end, that its connection ends with this answer.
-func (c *Clients) lastAnswer(w http.ResponseWriter) {
-	if c.killed.Load() != nil {
+// closeAfterResponse tells the client, once this process is to end, that its connection ends with this answer.
+func (c *Clients) closeAfterResponse(w http.ResponseWriter) {
+	if c.killTime.Load() != nil {
 		w.Header().Set("Connection", "close")
 	}
 }
 
 // ready tells whether clients may come.
 func (c *Clients) ready() bool {
-	if c.killed.Load() != nil {
+	if c.killTime.Load() != nil {
 		return false
 	}
-	return !c.settings.AskForList || c.loop.listed.Load() || time.Since(c.started) >= listWait
+	return !c.settings.AskForList || c.loop.hasList.Load() || time.Since(c.started) >= firstListTimeout
 }
 
 // ServeHTTP takes one request and gives it its one final answer.
 func (c *Clients) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	if r.URL.Path == "/ready" {
-		c.lastAnswer(w)
+		c.closeAfterResponse(w)
 		if !c.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -166,23 +167,23 @@
 	if err == nil {
 		msg.body, err = readBody(w, r, msg.method)
 	}
-	if killed := c.killed.Load(); killed != nil {
+	if killed := c.killTime.Load(); killed != nil {
 		timeout = min(timeout, killed.Sub(arrived)) // what comes late must have its answer by then as well
 	}
 	if err == nil {
-		forGateway, lastMoment := margins(timeout)
+		forGateway, responseTime := margins(timeout)
 		req.Patience = timeout - forGateway - time.Since(arrived)
-		ctx, cancel := context.WithDeadline(r.Context(), arrived.Add(timeout-lastMoment))
+		ctx, cancel := context.WithDeadline(r.Context(), arrived.Add(timeout-responseTime))
 		defer cancel()
-		msg.left = hasLeft(r, cancel)
-		var a answer
+		msg.disconnected = disconnectCheck(r, cancel)
+		var a finalResponse
 		if a, err = c.loop.Serve(ctx, req, msg); err == nil {
-			c.lastAnswer(w)
-			c.answer(w, a)
+			c.closeAfterResponse(w)
+			c.writeResponse(w, a)
 			return
 		}
 	}
-	c.lastAnswer(w)
+	c.closeAfterResponse(w)
 	switch {
 	case errors.Is(err, context.Canceled):
 		// Most likely nobody is there to be told. But a client may have ended its sending only, and without a
@@ -190,12 +191,12 @@
 		w.Header().Set("Connection", "close")
 		w.WriteHeader(http.StatusBadGateway)
 	case errors.Is(err, context.DeadlineExceeded):
-		c.lateLog.Do(func() { slog.Warn("answered at the last moment", "class", req.Class, "timeout", timeout) })
+		c.timeoutLog.Do(func() { slog.Warn("answered at the last moment", "class", req.Class, "timeout", timeout) })
 		w.WriteHeader(http.StatusGatewayTimeout)
 	default:
-		c.badLog.Do(func() { slog.Warn("bad request", "from", r.RemoteAddr, "err", err) })
+		c.badRequestLog.Do(func() { slog.Warn("bad request", "from", r.RemoteAddr, "err", err) })
 		status := http.StatusBadRequest
-		if errors.Is(err, errBigRequest) {
+		if errors.Is(err, errBodyTooLarge) {
 			status = http.StatusRequestEntityTooLarge
 		}
 		w.Header().Set("Connection", "close") // what else it sends is not waited for
@@ -206,31 +207,31 @@
 // connKey is the key of a request's connection in its context.
 type connKey struct{}
 
-// hasLeft looks, without waiting for the server's own watch, whether the client of a request has left, and ends the
+// disconnectCheck looks, without waiting for the server's own watch, whether the client of a request has left, and ends the
 // request by end if so. A door that is short of its core hears of a leaving late, the later the busier it is, and would
 // begin attempts meanwhile that nobody waits for.
-func hasLeft(r *http.Request, end func()) func() bool {
+func disconnectCheck(r *http.Request, end func()) func() bool {
 	conn, ok := r.Context().Value(connKey{}).(net.Conn)
 	if !ok {
 		return nil
 	}
 	return func() bool {
-		left := pending(conn) == ended
-		if left {
+		disconnected := peekSocket(conn) == peerClosed
+		if disconnected {
 			end()
 		}
-		return left
+		return disconnected
 	}
 }
 
-func (c *Clients) answer(w http.ResponseWriter, a answer) {
+func (c *Clients) writeResponse(w http.ResponseWriter, a finalResponse) {
 	h := w.Header()
 	switch a.kind {
 	case served:
 		h["Content-Type"] = a.reply.contentType // nil: none is guessed
 		h.Set("Content-Length", strconv.Itoa(len(a.reply.body)))
 		_, _ = w.Write(a.reply.body) // if it fails, the connection is closed: the client sees a cut answer
-	case refused:
+	case rejected:
 		if a.retryAfter > 0 {
 			h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
 		}
@@ -241,22 +242,22 @@
 }
 
 // margins are how long before the end of a client's time the gateway's ends, and the last moment lies.
-func margins(timeout time.Duration) (forGateway, lastMoment time.Duration) {
-	forGateway = min(gatewayMargin, timeout/marginShare)
-	return forGateway, min(lastMomentMargin, forGateway/2)
+func margins(timeout time.Duration) (forGateway, responseTime time.Duration) {
+	forGateway = min(gatewayMargin, timeout/marginDivisor)
+	return forGateway, min(responseMargin, forGateway/2)
 }
 
-var errBigRequest = errors.New("the body is over 64 KiB")
+var errBodyTooLarge = errors.New("the body is over 64 KiB")
 
 func readBody(w http.ResponseWriter, r *http.Request, method string) ([]byte, error) {
 	if r.ContentLength > maxBody {
-		return nil, errBigRequest
+		return nil, errBodyTooLarge
 	}
 	if method == http.MethodGet {
 		return nil, nil
 	}
 	control := http.NewResponseController(w)
-	if err := control.SetReadDeadline(time.Now().Add(bodyTime)); err != nil {
+	if err := control.SetReadDeadline(time.Now().Add(bodyTimeout)); err != nil {
 		return nil, err
 	}
 	body := make([]byte, r.ContentLength)
--- a/internal/frontdoor/clients_test.go
+++ b/internal/frontdoor/clients_test.go
@@ -25,7 +25,7 @@
 
 func TestARequestGoesOnAndComesBackUnchanged(t *testing.T) {
 	body := strings.Repeat("b", 10000)
-	d := startDoor(t, nil, serve(t, func(w http.ResponseWriter, r *http.Request) {
+	d := startInstance(t, nil, serve(t, func(w http.ResponseWriter, r *http.Request) {
 		sent, _ := io.ReadAll(r.Body)
 		timeout, err := strconv.ParseFloat(r.Header.Get("Request-Timeout"), 64)
 		if r.RequestURI != "/pay/a%2Fb//c;d?x=1&y=%20&&" || r.Method != http.MethodPost || string(sent) != "amount=3" ||
@@ -36,7 +36,7 @@
 		}
 		io.WriteString(w, body)
 	}))
-	req := d.ask(t, "pay", func(r *http.Request) {
+	req := d.newRequest(t, "pay", func(r *http.Request) {
 		r.URL.Opaque = "/pay/a%2Fb//c;d?x=1&y=%20&&"
 		r.Host = "origin.svc"
 	})
@@ -87,9 +87,9 @@
 		}, 400},
 	} {
 		g := script(sendTo(1))
-		d := startDoor(t, g, "127.0.0.1:1")
+		d := startInstance(t, g, "127.0.0.1:1")
 		next[gateway.BackendList](t, g)
-		if res, _ := do(t, d.ask(t, c.class, c.change)); res.StatusCode != c.status {
+		if res, _ := do(t, d.newRequest(t, c.class, c.change)); res.StatusCode != c.status {
 			t.Errorf("%s: %s, want %d", name, res.Status, c.status)
 		}
 		if len(g.heard) > 0 {
@@ -100,13 +100,13 @@
 }
 
 func TestRefusalsSayWhenToComeBack(t *testing.T) {
-	d := startDoor(t, script(func(ev gateway.Event) []gateway.Action {
+	d := startInstance(t, script(func(ev gateway.Event) []gateway.Action {
 		if r, ok := ev.(gateway.Request); ok {
 			return []gateway.Action{gateway.Refuse{Request: r.ID, RetryAfter: 250 * time.Millisecond}, gateway.Fail{Request: r.ID}}
 		}
 		return nil
 	}))
-	res, _ := do(t, d.ask(t, "look", nil))
+	res, _ := do(t, d.newRequest(t, "look", nil))
 	if res.StatusCode != 503 || res.Header.Get("Retry-After") != "0.250" {
 		t.Errorf("%s, Retry-After %q", res.Status, res.Header.Get("Retry-After"))
 	}
@@ -115,8 +115,8 @@
 // Whatever the gateway does or does not do, a request has an answer before its client's time is up.
 func TestLastMoment(t *testing.T) {
 	g := script(nil)
-	d := startDoor(t, g)
-	res, _ := do(t, d.ask(t, "look", func(r *http.Request) { r.Header.Set("Request-Timeout", "0.5") }))
+	d := startInstance(t, g)
+	res, _ := do(t, d.newRequest(t, "look", func(r *http.Request) { r.Header.Set("Request-Timeout", "0.5") }))
 	if res.StatusCode != http.StatusGatewayTimeout {
 		t.Errorf("%s, want the last moment's answer", res.Status)
 	}
@@ -129,7 +129,7 @@
 // A client that waits for a short time only is not left without any of it, and is still answered before its end.
 func TestMarginsOfShortDeadlines(t *testing.T) {
 	for _, c := range []struct{ timeout, forGateway, lastMoment time.Duration }{
-		{2 * time.Second, gatewayMargin, lastMomentMargin},
+		{2 * time.Second, gatewayMargin, responseMargin},
 		{80 * time.Millisecond, 10 * time.Millisecond, 5 * time.Millisecond},
 		{16 * time.Millisecond, 2 * time.Millisecond, time.Millisecond},
 	} {
@@ -156,12 +156,12 @@
 		}
 		return nil
 	})
-	d := startDoor(t, g, addr)
+	d := startInstance(t, g, addr)
 	conn, err := net.Dial("tcp", d.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := d.ask(t, "look", nil).Write(conn); err != nil {
+	if err := d.newRequest(t, "look", nil).Write(conn); err != nil {
 		t.Fatal(err)
 	}
 	await(t, read, "the attempt")
@@ -180,13 +180,13 @@
 // like a served answer.
 func TestClientThatEndsItsSending(t *testing.T) {
 	g := script(nil)
-	d := startDoor(t, g)
+	d := startInstance(t, g)
 	conn, err := net.Dial("tcp", d.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if err := d.ask(t, "look", nil).Write(conn); err != nil {
+	if err := d.newRequest(t, "look", nil).Write(conn); err != nil {
 		t.Fatal(err)
 	}
 	next[gateway.Request](t, g)
@@ -202,10 +202,10 @@
 // An id that is open already would leave the second request without an answer: the gateway passes over it.
 func TestAnIDThatIsOpen(t *testing.T) {
 	g := script(nil)
-	d := startDoor(t, g)
+	d := startInstance(t, g)
 	first := make(chan int, 1)
 	go func() {
-		res, err := http.DefaultTransport.RoundTrip(d.ask(t, "look", func(r *http.Request) { r.Header.Set("Request-Timeout", "1.5") }))
+		res, err := http.DefaultTransport.RoundTrip(d.newRequest(t, "look", func(r *http.Request) { r.Header.Set("Request-Timeout", "1.5") }))
 		if err != nil {
 			t.Error(err)
 			first <- 0
@@ -215,7 +215,7 @@
 		first <- res.StatusCode
 	}()
 	next[gateway.Request](t, g)
-	if res, _ := do(t, d.ask(t, "look", nil)); res.StatusCode != 400 {
+	if res, _ := do(t, d.newRequest(t, "look", nil)); res.StatusCode != 400 {
 		t.Errorf("the second of one id: %s", res.Status)
 	}
 	if got := <-first; got != http.StatusGatewayTimeout {
@@ -225,11 +225,11 @@
 
 // A body that is cut midway is no answer: the attempt has failed, and the client is told so.
 func TestACutAnswerIsNotServed(t *testing.T) {
-	d := startDoor(t, nil, raw(t, func(_ int, conn net.Conn) {
+	d := startInstance(t, nil, raw(t, func(_ int, conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 		conn.Close()
 	}))
-	if res, body := do(t, d.ask(t, "pay", nil)); res.StatusCode != http.StatusBadGateway || body != "" {
+	if res, body := do(t, d.newRequest(t, "pay", nil)); res.StatusCode != http.StatusBadGateway || body != "" {
 		t.Errorf("%s %q", res.Status, body)
 	}
 }
@@ -237,7 +237,7 @@
 // After SIGTERM clients still come for a while, and what was taken must be answered before the end.
 func TestNothingIsLostAtTheEnd(t *testing.T) {
 	goOn, read := make(chan bool), make(chan bool, 2)
-	d := startDoor(t, nil, serve(t, func(w http.ResponseWriter, _ *http.Request) {
+	d := startInstance(t, nil, serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		read <- true
 		<-goOn
 		io.WriteString(w, "done")
@@ -245,7 +245,7 @@
 	ask := func(id string) chan *http.Response {
 		c := make(chan *http.Response, 1)
 		go func() {
-			res, err := (&http.Transport{}).RoundTrip(d.ask(t, "look", func(r *http.Request) { r.Header.Set("Request-Id", id) }))
+			res, err := (&http.Transport{}).RoundTrip(d.newRequest(t, "look", func(r *http.Request) { r.Header.Set("Request-Id", id) }))
 			if err != nil {
 				t.Error(err)
 			} else {
@@ -263,7 +263,7 @@
 	select {
 	case err := <-d.done:
 		t.Fatalf("ended with two requests open: %v", err)
-	case <-time.After(drainMost + 100*time.Millisecond):
+	case <-time.After(drainMax + 100*time.Millisecond):
 	}
 	close(goOn)
 	for name, c := range map[string]chan *http.Response{"held": held, "late": late} {
--- a/internal/frontdoor/conns_test.go
+++ b/internal/frontdoor/conns_test.go
@@ -41,7 +41,7 @@
 }
 
 // startSmall starts a door that lets clients have five connections.
-func startSmall(t *testing.T, g decider) (*door, *Clients) {
+func startSmall(t *testing.T, g decider) (*testInstance, *Clients) {
 	t.Helper()
 	c := config(t)
 	c.Limits.Sockets = 12
@@ -54,7 +54,7 @@
 	t.Cleanup(stop)
 	clients := NewClients(c, l)
 	go clients.Run(ctx, ln)
-	return &door{addr: ln.Addr().String(), loop: l}, clients
+	return &testInstance{addr: ln.Addr().String(), loop: l}, clients
 }
 
 // Clients that connect and say nothing use up the descriptors, and then nobody is served. Past the bound the longest
@@ -64,7 +64,7 @@
 	d, clients := startSmall(t, g)
 
 	asking := dialAll(t, d.addr, 1)[0]
-	if err := d.ask(t, "look", nil).Write(asking); err != nil {
+	if err := d.newRequest(t, "look", nil).Write(asking); err != nil {
 		t.Fatal(err)
 	}
 	id := next[gateway.Request](t, g).ID
@@ -75,7 +75,7 @@
 	}
 	clients.conns.mu.Unlock()
 	d.loop.mu.Lock()
-	d.loop.do(gateway.Fail{Request: id})
+	d.loop.execute(gateway.Fail{Request: id})
 	d.loop.mu.Unlock()
 	if res, err := http.ReadResponse(bufio.NewReader(asking), nil); err != nil || res.StatusCode != http.StatusBadGateway {
 		t.Errorf("the connection with a request open: %v, %v", res, err)
@@ -95,7 +95,7 @@
 			})
 			d, clients := startSmall(t, g)
 			var text strings.Builder
-			if err := d.ask(t, "look", nil).Write(&text); err != nil {
+			if err := d.newRequest(t, "look", nil).Write(&text); err != nil {
 				t.Fatal(err)
 			}
 			conn := dialAll(t, d.addr, 1)[0]
@@ -113,8 +113,8 @@
 			quiet := func(begun bool) bool { // the connection counts as silent, with or without something read
 				clients.conns.mu.Lock()
 				defer clients.conns.mu.Unlock()
-				e := clients.conns.quiet.Front()
-				return e != nil && e.Value.(*clientConn).begun.Load() == begun
+				e := clients.conns.idle.Front()
+				return e != nil && e.Value.(*clientConn).requestBegun.Load() == begun
 			}
 			for _, piece := range []bool{false, true} {
 				if piece {
@@ -153,18 +153,18 @@
 		defer c.Close()
 		near = append(near, c)
 	}
-	table.note(near[0], http.StateNew)
-	table.note(near[0], http.StateActive) // a request is open
-	table.note(near[1], http.StateNew)
-	table.note(near[2], http.StateNew)
+	table.connStateChanged(near[0], http.StateNew)
+	table.connStateChanged(near[0], http.StateActive) // a request is open
+	table.connStateChanged(near[1], http.StateNew)
+	table.connStateChanged(near[2], http.StateNew)
 	io.WriteString(far[1], "G")
-	for deadline := time.Now().Add(patient); pending(near[1]) != waiting && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(patient); peekSocket(near[1]) != dataAvailable && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	table.note(near[3], http.StateNew)
+	table.connStateChanged(near[3], http.StateNew)
 	awaitEnd(t, far[2])
-	table.note(near[0], http.StateIdle) // the shortest silent now
-	table.note(near[4], http.StateNew)
+	table.connStateChanged(near[0], http.StateIdle) // the shortest silent now
+	table.connStateChanged(near[4], http.StateNew)
 	awaitEnd(t, far[3])
 }
 
@@ -173,7 +173,7 @@
 	head := "POST /pay HTTP/1.1\r\nHost: h\r\nRequest-Id: 9b1f03aa5c7e2d41\r\nRequest-Class: pay\r\nX-Tier: basic\r\n" +
 		"X-Api-Key: 00000000b4d65521\r\nRequest-Timeout: 20\r\nIdempotency-Key: k\r\nX-Call-Terms: units=1,spread=2,first=1\r\n"
 	g := script(nil)
-	d := startDoor(t, g)
+	d := startInstance(t, g)
 	next[gateway.BackendList](t, g)
 	ends := make(chan string)
 	for name, text := range map[string]string{
@@ -205,7 +205,7 @@
 // before a handler sees them, so the one left must be enough to turn it away.
 func TestTwoFramingsAreTurnedAway(t *testing.T) {
 	g := script(nil)
-	d := startDoor(t, g)
+	d := startInstance(t, g)
 	next[gateway.BackendList](t, g)
 	for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
 		c := dialAll(t, d.addr, 1)[0]
@@ -234,20 +234,20 @@
 		t.Fatal(err)
 	}
 	defer near.Close()
-	seen := []sight{pending(near)}
+	seen := []socketState{peekSocket(near)}
 	io.WriteString(far, "x")
 	near.Read(nil)
-	for deadline := time.Now().Add(patient); pending(near) == clean && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(patient); peekSocket(near) == noData && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	seen = append(seen, pending(near), pending(near))
+	seen = append(seen, peekSocket(near), peekSocket(near))
 	near.Read(make([]byte, 1))
 	far.Close()
-	for deadline := time.Now().Add(patient); pending(near) == clean && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(patient); peekSocket(near) == noData && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	seen = append(seen, pending(near))
-	if want := []sight{clean, waiting, waiting, ended}; !slices.Equal(seen, want) {
+	seen = append(seen, peekSocket(near))
+	if want := []socketState{noData, dataAvailable, dataAvailable, peerClosed}; !slices.Equal(seen, want) {
 		t.Errorf("seen %v, want %v", seen, want)
 	}
 }
--- a/internal/frontdoor/crossing_test.go
+++ b/internal/frontdoor/crossing_test.go
@@ -25,7 +25,7 @@
 		for ahead, together := range map[string]bool{"in one piece": true, "behind": false} {
 			t.Run(how+" "+ahead, func(t *testing.T) {
 				g := script(nil)
-				d := startDoor(t, g)
+				d := startInstance(t, g)
 				conn := dialAll(t, d.addr, 1)[0]
 				first, second := d.text(t, "look", "00000000000000a1"), d.text(t, "pay", "00000000000000a2")
 				if together {
@@ -63,7 +63,7 @@
 		<-goOn
 		io.WriteString(w, r.Header.Get("Request-Id"))
 	})
-	d := startDoor(t, nil, addr)
+	d := startInstance(t, nil, addr)
 	conn := dialAll(t, d.addr, 1)[0]
 	io.WriteString(conn, d.text(t, "look", "00000000000000a1"))
 	await(t, read, "the first attempt")
@@ -85,11 +85,11 @@
 // What a client may send ahead is bounded: more ends its request and its connection.
 func TestWhatIsSentAheadIsBounded(t *testing.T) {
 	g := script(nil)
-	d := startDoor(t, g)
+	d := startInstance(t, g)
 	conn := dialAll(t, d.addr, 1)[0]
 	io.WriteString(conn, d.text(t, "look", "00000000000000a1"))
 	next[gateway.Request](t, g)
-	go io.WriteString(conn, strings.Repeat("GET /look HTTP/1.1\r\n", 2*maxAhead/20))
+	go io.WriteString(conn, strings.Repeat("GET /look HTTP/1.1\r\n", 2*maxReadAhead/20))
 	next[gateway.ClientGone](t, g)
 	awaitEnd(t, conn)
 }
@@ -118,7 +118,7 @@
 
 // Connections that the system has accepted, and nobody has taken when the listening ends, are served.
 func TestTheBacklogIsServedAtTheEnd(t *testing.T) {
-	d := openDoor(t, script(refuseAll), &held{TCPListener: listen(t), open: make(chan bool)})
+	d := serveInstance(t, script(refuseAll), &held{TCPListener: listen(t), open: make(chan bool)})
 	conns := dialAll(t, d.addr, 3)
 	for i, c := range conns {
 		io.WriteString(c, d.text(t, "look", fmt.Sprintf("00000000000000a%d", i)))
@@ -191,7 +191,7 @@
 		}
 		return nil
 	})
-	d := openDoor(t, g, ln)
+	d := serveInstance(t, g, ln)
 	conn := dialAll(t, d.addr, 1)[0]
 	conn.SetReadDeadline(time.Now().Add(patient))
 	answers := bufio.NewReader(conn)
@@ -219,11 +219,11 @@
 	loop.Update(ready(raw(t, func(_ int, conn net.Conn) { io.WriteString(conn, okReply) })))
 	clients := NewClients(c, loop)
 	past := time.Now().Add(-time.Second)
-	clients.killed.Store(&past)
+	clients.killTime.Store(&past)
 	server := httptest.NewServer(clients)
 	defer server.Close()
-	d := &door{addr: strings.TrimPrefix(server.URL, "http://")}
-	if res, _ := do(t, d.ask(t, "pay", nil)); res.StatusCode != http.StatusServiceUnavailable || !res.Close {
+	d := &testInstance{addr: strings.TrimPrefix(server.URL, "http://")}
+	if res, _ := do(t, d.newRequest(t, "pay", nil)); res.StatusCode != http.StatusServiceUnavailable || !res.Close {
 		t.Errorf("%s, close %v", res.Status, res.Close)
 	}
 }
@@ -244,7 +244,7 @@
 		t.Errorf("with nothing there: %d bytes", n)
 	}
 	io.WriteString(far, "GET /look")
-	for end := time.Now().Add(patient); pending(inner) != waiting; {
+	for end := time.Now().Add(patient); peekSocket(inner) != dataAvailable; {
 		if time.Now().After(end) {
 			t.Fatal("nothing came")
 		}
--- a/internal/frontdoor/discovery.go
+++ b/internal/frontdoor/discovery.go
@@ -38,23 +38,23 @@
 
 var states = map[string]gateway.BackendState{"Ready": gateway.Ready, "Terminating": gateway.Draining, "Gone": gateway.Gone}
 
-// usable leaves out the entries that make no sense. One of them stands for all in the log.
-func usable(hosts []Endpoint) []Endpoint {
+// validEndpoints leaves out the entries that make no sense. One of them stands for all in the log.
+func validEndpoints(hosts []Endpoint) []Endpoint {
 	var first Endpoint
-	left := 0
+	skipped := 0
 	hosts = slices.DeleteFunc(hosts, func(e Endpoint) bool {
 		state, ok := states[e.Health]
 		bad := !ok || e.Host == "" || e.Dial == "" && state != gateway.Gone || e.BornMS < 0
 		if bad {
-			if left == 0 {
+			if skipped == 0 {
 				first = e
 			}
-			left++
+			skipped++
 		}
 		return bad
 	})
-	if left > 0 {
-		slog.Warn("discovery: entries that make no sense", "left out", left, "first", fmt.Sprintf("%.200q", fmt.Sprint(first)))
+	if skipped > 0 {
+		slog.Warn("discovery: entries that make no sense", "left out", skipped, "first", fmt.Sprintf("%.200q", fmt.Sprint(first)))
 	}
 	return hosts
 }
@@ -63,13 +63,13 @@
 	// What discovery has, and could be asked for, counts as told after this time, whatever failed, was refused or was given
 	// up meanwhile. A watch that has fallen silent, a second one that does so at once, and the pauses and the ask behind
 	// them take no longer.
-	toldAfter = 6 * time.Second
+	stalenessBound = 6 * time.Second
 	// A watch says something every 2 s, if only an empty line. One that is silent for longer is dead. To ask an agent once
 	// too often costs nothing, to ask a service in vain does.
-	agentSilence  = 2500 * time.Millisecond
-	sharedSilence = 3 * time.Second
-	askWait       = 2 * time.Second // a call to a service may wait in turn for as long
-	listTime      = time.Second     // a list that has begun is whole by then: it is sent at once
+	agentIdleTimeout   = 2500 * time.Millisecond
+	serviceIdleTimeout = 3 * time.Second
+	maxQueueWait       = 2 * time.Second // a call to a service may wait in turn for as long
+	listTimeout        = time.Second     // a list that has begun is whole by then: it is sent at once
 )
 
 // Where the settings say that lists are pushed, an agent on the front door's own machine holds what it has been sent
@@ -91,19 +91,19 @@
 // to hold each ask for askWait before it refused it, which spreads them enough; nobody should be long in coming back then,
 // so no pause is longer than leaves time for the wait in turn within toldAfter.
 const (
-	retryLeast   = 200 * time.Millisecond // the longest pause after a first failure; further ones double it
-	retryNew     = 400 * time.Millisecond // ... up to this for a process that has had no list
-	retryMost    = 2 * time.Second        // ... or to this: with the wait in turn, well within toldAfter
-	retryBusy    = 3 * time.Second        // the longest pause after a refusal for a process whose list is too old by then
-	lateRefusal  = 500 * time.Millisecond // a refusal that took longer is not that of a service with too much to do
+	retryBase    = 200 * time.Millisecond // the longest pause after a first failure; further ones double it
+	retryMaxNew  = 400 * time.Millisecond // ... up to this for a process that has had no list
+	retryMax     = 2 * time.Second        // ... or to this: with the wait in turn, well within toldAfter
+	retryMaxBusy = 3 * time.Second        // the longest pause after a refusal for a process whose list is too old by then
+	fastRefusal  = 500 * time.Millisecond // a refusal that took longer is not that of a service with too much to do
 	failedFactor = 4                      // times as long one may go without asking after a failed ask, by the pages
 
-	agentAsk   = 1.0 / 2 // of DrainGrace is how long an agent may take to answer
-	agentPause = 1.0 / 4 // ... and this at most is waited after an ask in vain
+	agentTimeoutFraction = 1.0 / 2 // of DrainGrace is how long an agent may take to answer
+	agentPauseFraction   = 1.0 / 4 // ... and this at most is waited after an ask in vain
 )
 
-// takeWhole, as a version to start from, asks for the whole list first.
-const takeWhole = -1
+// fromFullList, as a version to start from, asks for the whole list first.
+const fromFullList = -1
 
 // Follow follows the configuration's discovery until ctx ends, from the known list on; each address that comes from moves
 // takes the place of the one before. Another discovery may number its versions in another way, so after a move
@@ -117,7 +117,7 @@
 // followOver is Follow over a given transport.
 func followOver(ctx context.Context, rt http.RoundTripper, config Config, moves <-chan string,
 	update func(EndpointList)) {
-	f := newFollower(rt, paceOf(config), config.Discovery, config.Known.Seq, update)
+	f := newFollower(rt, newRetryPolicy(config), config.Discovery, config.Known.Seq, update)
 	for {
 		watching, stop := context.WithCancel(ctx)
 		ended := make(chan struct{})
@@ -135,24 +135,24 @@
 		if ctx.Err() != nil {
 			return
 		}
-		f.addr, f.from = addr, takeWhole
+		f.addr, f.version = addr, fromFullList
 	}
 }
 
 // follower follows one discovery at a time.
 type follower struct {
-	transport http.RoundTripper
-	pace      pace
-	addr      string
-	from      int64              // the version of the list that is held
-	update    func(EndpointList) // takes in lists and changes; none confirms what is held
-	heard     time.Time          // when discovery last said that nothing else had changed; zero: not yet
+	transport     http.RoundTripper
+	policy        retryPolicy
+	addr          string
+	version       int64              // the version of the list that is held
+	update        func(EndpointList) // takes in lists and changes; none confirms what is held
+	lastConfirmed time.Time          // when discovery last said that nothing else had changed; zero: not yet
 }
 
-func newFollower(rt http.RoundTripper, p pace, addr string, from int64, update func(EndpointList)) *follower {
-	f := &follower{transport: rt, pace: p, addr: addr, from: from}
+func newFollower(rt http.RoundTripper, policy retryPolicy, addr string, from int64, update func(EndpointList)) *follower {
+	f := &follower{transport: rt, policy: policy, addr: addr, version: from}
 	f.update = func(list EndpointList) {
-		f.heard = time.Now()
+		f.lastConfirmed = time.Now()
 		update(list)
 	}
 	return f
@@ -163,27 +163,27 @@
 	sometimes := rate.Sometimes{First: 3, Interval: 5 * time.Second}
 	failures := 0
 	for ctx.Err() == nil {
-		before := f.heard
-		err := f.once(ctx)
+		confirmedBefore := f.lastConfirmed
+		err := f.fetchAndWatch(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if f.heard != before {
+		if f.lastConfirmed != confirmedBefore {
 			failures = 0
 		}
 		failures++
-		pause := f.pace.retry(failure{err: err, inRow: failures, listed: !f.heard.IsZero(),
-			slack: time.Until(f.heard.Add(toldAfter - askWait))})
+		pause := f.policy.pause(failure{err: err, consecutive: failures, hasList: !f.lastConfirmed.IsZero(),
+			slack: time.Until(f.lastConfirmed.Add(stalenessBound - maxQueueWait))})
 		sometimes.Do(func() {
-			slog.Warn("discovery: the watch ended", "addr", f.addr, "from", f.from, "err", err, "retry", pause)
+			slog.Warn("discovery: the watch ended", "addr", f.addr, "from", f.version, "err", err, "retry", pause)
 		})
 		sleep(ctx, pause)
 	}
 }
 
-// once takes the whole list, if that is wanted, and watches what changes for as long as the watch lasts.
-func (f *follower) once(ctx context.Context) error {
-	if f.from == takeWhole {
+// fetchAndWatch takes the whole list, if that is wanted, and watches what changes for as long as the watch lasts.
+func (f *follower) fetchAndWatch(ctx context.Context) error {
+	if f.version == fromFullList {
 		if err := f.fetch(ctx); err != nil {
 			return err
 		}
@@ -206,21 +206,21 @@
 }
 
 var (
-	errSilent   = errors.New("nothing was heard for too long")
-	errNoList   = errors.New("the answer is no whole list")
-	errGoneBack = errors.New("the versions have gone back")
+	errStreamIdle       = errors.New("nothing was heard for too long")
+	errNotFullList      = errors.New("the answer is no whole list")
+	errVersionRegressed = errors.New("the versions have gone back")
 )
 
-// refusedError tells that discovery answered an ask with no list.
-type refusedError struct {
+// statusError tells that discovery answered an ask with no list.
+type statusError struct {
 	status string
-	after  time.Duration // how long it let the ask wait
+	took   time.Duration // how long it let the ask wait
 }
 
-func (e *refusedError) Error() string { return fmt.Sprintf("answered %s after %v", e.status, e.after) }
+func (e *statusError) Error() string { return fmt.Sprintf("answered %s after %v", e.status, e.took) }
 
-// ask opens one of discovery's answers.
-func ask(ctx context.Context, rt http.RoundTripper, url string) (*http.Response, error) {
+// openResponse opens one of discovery's answers.
+func openResponse(ctx context.Context, rt http.RoundTripper, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
@@ -232,83 +232,84 @@
 	}
 	if res.StatusCode != http.StatusOK {
 		res.Body.Close()
-		return nil, &refusedError{status: res.Status, after: time.Since(asked)}
+		return nil, &statusError{status: res.Status, took: time.Since(asked)}
 	}
 	return res, nil
 }
 
-// hearing is one of discovery's answers as it comes. It ends when nothing is heard for too long, or when a list that has
+// streamReader is one of discovery's answers as it comes. It ends when nothing is heard for too long, or when a list that has
 // begun is not whole in time: one that drips would else keep all that follows from being heard.
-type hearing struct {
+type streamReader struct {
 	io.Reader
-	silence time.Duration
-	alarm   *time.Timer
-	begun   bool   // some of a list has come, and not yet all
-	idle    func() // is called for what comes between two lists; nil: before the first one
-	end     func()
+	idleTimeout time.Duration
+	timer       *time.Timer
+	inList      bool   // some of a list has come, and not yet all
+	onHeartbeat func() // is called for what comes between two lists; nil: before the first one
+	close       func()
 }
 
-// hear opens an answer whose first word must come within first, and each further one within silence. Its end must be
+// openStream opens an answer whose first word must come within first, and each further one within silence. Its end must be
 // called.
-func hear(ctx context.Context, rt http.RoundTripper, url string, first, silence time.Duration) (*hearing, error) {
+func openStream(ctx context.Context, rt http.RoundTripper, url string,
+	firstTimeout, idleTimeout time.Duration) (*streamReader, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	h := &hearing{silence: silence, alarm: time.AfterFunc(first, func() { cancel(errSilent) })}
-	res, err := ask(ctx, rt, url)
+	stream := &streamReader{idleTimeout: idleTimeout, timer: time.AfterFunc(firstTimeout, func() { cancel(errStreamIdle) })}
+	res, err := openResponse(ctx, rt, url)
 	if err != nil {
-		h.alarm.Stop()
+		stream.timer.Stop()
 		cancel(nil)
 		return nil, err
 	}
-	h.alarm.Reset(silence)
-	h.Reader = res.Body
-	h.end = func() {
-		h.alarm.Stop()
+	stream.timer.Reset(idleTimeout)
+	stream.Reader = res.Body
+	stream.close = func() {
+		stream.timer.Stop()
 		cancel(nil)
 		res.Body.Close()
 	}
-	return h, nil
+	return stream, nil
 }
 
-func (h *hearing) Read(p []byte) (int, error) {
+func (h *streamReader) Read(p []byte) (int, error) {
 	n, err := h.Reader.Read(p)
 	switch {
-	case n == 0 || h.begun:
+	case n == 0 || h.inList:
 	case len(bytes.TrimSpace(p[:n])) == 0:
-		h.alarm.Reset(h.silence)
-		if h.idle != nil {
-			h.idle()
+		h.timer.Reset(h.idleTimeout)
+		if h.onHeartbeat != nil {
+			h.onHeartbeat()
 		}
 	default:
-		h.begun = true
-		h.alarm.Reset(listTime)
+		h.inList = true
+		h.timer.Reset(listTimeout)
 	}
 	return n, err
 }
 
-// whole marks the end of a list.
-func (h *hearing) whole() {
-	h.begun = false
-	h.alarm.Reset(h.silence)
+// listComplete marks the end of a list.
+func (h *streamReader) listComplete() {
+	h.inList = false
+	h.timer.Reset(h.idleTimeout)
 }
 
 // fetch takes the whole list, once.
 func (f *follower) fetch(ctx context.Context) error {
 	url := fmt.Sprintf("http://%s/v1/endpoints", f.addr)
-	answer, err := hear(ctx, f.transport, url, f.pace.firstWord(), f.pace.silence())
+	answer, err := openStream(ctx, f.transport, url, f.policy.responseTimeout(), f.policy.idleTimeout())
 	if err != nil {
 		return err
 	}
-	defer answer.end()
+	defer answer.close()
 	list, err := newListReader(answer).next()
 	if err != nil {
 		return err
 	}
 	if !list.Whole {
-		return errNoList
+		return errNotFullList
 	}
 	slog.Info("discovery: the whole list", "addr", f.addr, "seq", list.Seq, "hosts", len(list.Hosts))
 	f.update(list)
-	f.from = list.Seq
+	f.version = list.Seq
 	return nil
 }
 
@@ -316,26 +317,26 @@
 // ends it, and the next watch asks for the same changes again: passing over the line could lose the word that a backend
 // drains. An empty line confirms the list only once the watch has said what had changed before it.
 func (f *follower) watch(ctx context.Context) error {
-	url := fmt.Sprintf("http://%s/v1/endpoints?watch=1&from=%d", f.addr, f.from)
-	answer, err := hear(ctx, f.transport, url, f.pace.firstWord(), f.pace.silence())
+	url := fmt.Sprintf("http://%s/v1/endpoints?watch=1&from=%d", f.addr, f.version)
+	answer, err := openStream(ctx, f.transport, url, f.policy.responseTimeout(), f.policy.idleTimeout())
 	if err != nil {
 		return err
 	}
-	defer answer.end()
+	defer answer.close()
 	lists := newListReader(answer)
 	for {
 		list, err := lists.next()
 		if err != nil {
 			return err
 		}
-		answer.whole()
-		if !list.Whole && list.Seq < f.from { // discovery has begun anew: what changed before is not known here
-			f.from = takeWhole
-			return errGoneBack
+		answer.listComplete()
+		if !list.Whole && list.Seq < f.version { // discovery has begun anew: what changed before is not known here
+			f.version = fromFullList
+			return errVersionRegressed
 		}
 		slog.Info("discovery", "seq", list.Seq, "whole", list.Whole, "hosts", len(list.Hosts))
 		f.update(list)
-		f.from = list.Seq
-		answer.idle = func() { f.update(EndpointList{Seq: f.from}) }
+		f.version = list.Seq
+		answer.onHeartbeat = func() { f.update(EndpointList{Seq: f.version}) }
 	}
 }
--- a/internal/frontdoor/discovery_test.go
+++ b/internal/frontdoor/discovery_test.go
@@ -16,7 +16,7 @@
 )
 
 // prompt is the pace of an agent that may take long over an ask.
-var prompt = pace{grace: time.Duration(float64(patient) / agentAsk)}
+var prompt = retryPolicy{grace: time.Duration(float64(patient) / agentTimeoutFraction)}
 
 const entry = `{"host":"s-1","dial":"127.0.0.1:%d","site":"a","class":"m2","block":3,"health":"%s","share":1.0,"born_ms":0}`
 
@@ -44,8 +44,8 @@
 	for want, wantSeq := range []int64{42, 42, 43} {
 		ctx, cancel := context.WithTimeout(t.Context(), patient)
 		err := f.watch(ctx)
-		if err == nil || ctx.Err() != nil || f.from != wantSeq {
-			t.Errorf("watch %d ended with %v at version %d, want %d", want+1, err, f.from, wantSeq)
+		if err == nil || ctx.Err() != nil || f.version != wantSeq {
+			t.Errorf("watch %d ended with %v at version %d, want %d", want+1, err, f.version, wantSeq)
 		}
 		cancel()
 	}
@@ -65,13 +65,13 @@
 		for range 12 {
 			fmt.Fprintln(w)
 			w.(http.Flusher).Flush()
-			time.Sleep(agentSilence / 8)
+			time.Sleep(agentIdleTimeout / 8)
 		}
 		fmt.Fprintln(w, `{"seq":50,"whole":true,"hosts":[]}`)
 	})
 	f := newFollower(&http.Transport{}, prompt, addr, 1, func(EndpointList) {})
-	if err := f.watch(t.Context()); f.from != 50 {
-		t.Errorf("ended with %v at version %d", err, f.from)
+	if err := f.watch(t.Context()); f.version != 50 {
+		t.Errorf("ended with %v at version %d", err, f.version)
 	}
 }
 
@@ -106,11 +106,11 @@
 	}
 	two := first.Backends[1].ID
 	l.Update(EndpointList{Hosts: []Endpoint{e("s-2", "127.0.0.1:28", "Ready", hourAgo)}})
-	if again := next[gateway.BackendList](t, g); again.Backends[0].ID != two || b.ready(two) == nil || b.ready(two).addr != "127.0.0.1:28" {
-		t.Errorf("moved: %+v, ready at %+v", again, b.ready(two))
+	if again := next[gateway.BackendList](t, g); again.Backends[0].ID != two || b.readyEndpoint(two) == nil || b.readyEndpoint(two).addr != "127.0.0.1:28" {
+		t.Errorf("moved: %+v, ready at %+v", again, b.readyEndpoint(two))
 	}
 	l.Update(EndpointList{Whole: true}) // what a whole list lacks is gone
-	if b.ready(two) != nil {
+	if b.readyEndpoint(two) != nil {
 		t.Error("a backend that the whole list lacks may still be sent to")
 	}
 }
@@ -304,7 +304,7 @@
 				}
 				for <-known != 2 {
 				}
-				if took := time.Since(start); took > toldAfter {
+				if took := time.Since(start); took > stalenessBound {
 					t.Errorf("%s: known after %v", c.name, took)
 				}
 				stop()
@@ -331,10 +331,10 @@
 		"watched": (*follower).watch,
 	} {
 		hosts := 0
-		f := newFollower(&http.Transport{}, prompt, addr, 0, func(l EndpointList) { hosts = len(usable(l.Hosts)) })
+		f := newFollower(&http.Transport{}, prompt, addr, 0, func(l EndpointList) { hosts = len(validEndpoints(l.Hosts)) })
 		err := take(f, t.Context())
-		if hosts != 1024 || f.from != 9 {
-			t.Errorf("%s: %d hosts of version %d, %v", how, hosts, f.from, err)
+		if hosts != 1024 || f.version != 9 {
+			t.Errorf("%s: %d hosts of version %d, %v", how, hosts, f.version, err)
 		}
 	}
 }
--- a/internal/frontdoor/fleet_discovery_test.go
+++ b/internal/frontdoor/fleet_discovery_test.go
@@ -71,7 +71,7 @@
 		d.free = now
 	}
 	wait = d.free.Sub(now) + d.each
-	if wait > askWait {
+	if wait > maxQueueWait {
 		return 0, nil, nil
 	}
 	d.free = d.free.Add(d.each)
@@ -82,7 +82,7 @@
 	refusal := &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}
 	wait, up, err := d.turn()
 	switch {
-	case err != nil && d.holds && sleep(r.Context(), askWait):
+	case err != nil && d.holds && sleep(r.Context(), maxQueueWait):
 		return refusal, nil
 	case err != nil:
 		return nil, err
@@ -115,7 +115,7 @@
 func follow(d http.RoundTripper) *followed {
 	config := Config{Discovery: "discovery", Settings: gateway.Settings{FrontDoors: 300, DrainGrace: 400 * time.Millisecond,
 		AskForList: true}}
-	config.Conns.MustAsk = 10 * time.Second
+	config.Conns.StaleAfter = 10 * time.Second
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	f := &followed{started: time.Now(), moves: make(chan string)}
@@ -138,7 +138,7 @@
 }
 
 // heard gives the times of the first and the last list; zero: there was none.
-func (f *followed) heard() (first, last time.Time) {
+func (f *followed) listTimes() (first, last time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.first, f.last
@@ -149,7 +149,7 @@
 	t.Helper()
 	count := 0
 	for _, f := range fleet {
-		if _, last := f.heard(); last.Before(after) {
+		if _, last := f.listTimes(); last.Before(after) {
 			count++
 		}
 	}
@@ -178,24 +178,24 @@
 		d := newBusyDiscovery(40 * time.Millisecond)
 		fleet := followAll(d, 300)
 		time.Sleep(30 * time.Second)
-		late(t, fleet, time.Now().Add(-sharedSilence), "at the start")
+		late(t, fleet, time.Now().Add(-serviceIdleTimeout), "at the start")
 		for tenth := range 10 {
 			part := fleet[30*tenth : 30*tenth+30]
 			endAll(part)
 			copy(part, followAll(d, 30))
 			time.Sleep(1500 * time.Millisecond)
 		}
-		time.Sleep(toldAfter)
+		time.Sleep(stalenessBound)
 		slow := 0
 		for _, f := range fleet {
-			if first, _ := f.heard(); first.IsZero() || first.Sub(f.started) > toldAfter/2 {
+			if first, _ := f.listTimes(); first.IsZero() || first.Sub(f.started) > stalenessBound/2 {
 				slow++
 			}
 		}
 		if slow > 0 {
-			t.Errorf("%d of %d new processes had no list within %v", slow, len(fleet), toldAfter/2)
+			t.Errorf("%d of %d new processes had no list within %v", slow, len(fleet), stalenessBound/2)
 		}
-		late(t, fleet, time.Now().Add(-sharedSilence), "at the end")
+		late(t, fleet, time.Now().Add(-serviceIdleTimeout), "at the end")
 		endAll(fleet)
 	})
 }
@@ -215,10 +215,10 @@
 		}
 		time.Sleep(3 * time.Second)
 		started := followAll(second, 30)
-		time.Sleep(2 * toldAfter)
+		time.Sleep(2 * stalenessBound)
 		count := 0
 		for _, f := range started {
-			if first, _ := f.heard(); !first.IsZero() && first.Sub(f.started) <= readyWithin {
+			if first, _ := f.listTimes(); !first.IsZero() && first.Sub(f.started) <= readyWithin {
 				count++
 			}
 		}
@@ -226,9 +226,9 @@
 			t.Errorf("%d of 30 new processes had a list within %v", count, readyWithin)
 		}
 		work := 630 * each
-		time.Sleep(time.Until(start.Add(work + toldAfter)))
-		late(t, append(started, fleet...), time.Now().Add(-sharedSilence), "after a move")
-		if second.idle > 3*time.Second+toldAfter+work/20 { // before the first ask, and after the last one
+		time.Sleep(time.Until(start.Add(work + stalenessBound)))
+		late(t, append(started, fleet...), time.Now().Add(-serviceIdleTimeout), "after a move")
+		if second.idle > 3*time.Second+stalenessBound+work/20 { // before the first ask, and after the last one
 			t.Errorf("the service was idle for %v", second.idle)
 		}
 		endAll(append(started, fleet...))
@@ -284,10 +284,10 @@
 				d := newBusyDiscovery(c.each)
 				fleet := followAll(d, 300)
 				time.Sleep(30 * time.Second)
-				late(t, fleet, time.Now().Add(-sharedSilence), "at the start")
+				late(t, fleet, time.Now().Add(-serviceIdleTimeout), "at the start")
 				c.do(d, fleet)
 				start := time.Now()
-				time.Sleep(toldAfter)
+				time.Sleep(stalenessBound)
 				late(t, fleet, start, c.name)
 				endAll(fleet)
 			})
@@ -307,7 +307,7 @@
 		time.Sleep(8 * time.Second)
 		d.start()
 		start := time.Now()
-		time.Sleep(300*each + retryMost + askWait)
+		time.Sleep(300*each + retryMax + maxQueueWait)
 		late(t, fleet, start, "down for 8 s")
 		endAll(fleet)
 	})
@@ -319,7 +319,7 @@
 		for _, line := range []string{"", `{"seq":7,"whole":false,"hosts":[]}`, "", ""} {
 			fmt.Fprintln(w, line)
 			w.(http.Flusher).Flush()
-			time.Sleep(agentSilence / 10)
+			time.Sleep(agentIdleTimeout / 10)
 		}
 	})
 	var heard []EndpointList
--- a/internal/frontdoor/frontdoor_test.go
+++ b/internal/frontdoor/frontdoor_test.go
@@ -49,15 +49,15 @@
 	return list
 }
 
-// door is a front door that serves on a port of the system's choosing.
-type door struct {
+// testInstance is a front door that serves on a port of the system's choosing.
+type testInstance struct {
 	addr string
 	loop *Loop
 	stop context.CancelFunc
 	done chan error
 }
 
-func startDoor(t testing.TB, decisions decider, addrs ...string) *door {
+func startInstance(t testing.TB, decisions decider, addrs ...string) *testInstance {
 	t.Helper()
 	c := config(t)
 	backends := NewBackends(c)
@@ -74,14 +74,14 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	d := &door{addr: ln.Addr().String(), loop: loop, stop: stop, done: make(chan error, 1)}
+	d := &testInstance{addr: ln.Addr().String(), loop: loop, stop: stop, done: make(chan error, 1)}
 	go func() { d.done <- NewClients(c, loop).Run(ctx, ln) }()
 	t.Cleanup(stop)
 	return d
 }
 
 // ask builds a good request; change alters it.
-func (d *door) ask(t testing.TB, class string, change func(*http.Request)) *http.Request {
+func (d *testInstance) newRequest(t testing.TB, class string, change func(*http.Request)) *http.Request {
 	t.Helper()
 	method, body := http.MethodGet, io.Reader(nil)
 	if class == "pay" {
@@ -204,15 +204,15 @@
 	}
 }
 
-// openDoor starts a door on a listener of the test's.
-func openDoor(t *testing.T, decisions decider, ln net.Listener, addrs ...string) *door {
+// serveInstance starts a door on a listener of the test's.
+func serveInstance(t *testing.T, decisions decider, ln net.Listener, addrs ...string) *testInstance {
 	t.Helper()
 	c := config(t)
 	backends := NewBackends(c)
 	loop := newLoop(clock{time.Now()}, decisions, backends)
 	loop.Update(ready(addrs...))
 	ctx, stop := context.WithCancel(context.Background())
-	d := &door{addr: ln.Addr().String(), loop: loop, stop: stop, done: make(chan error, 1)}
+	d := &testInstance{addr: ln.Addr().String(), loop: loop, stop: stop, done: make(chan error, 1)}
 	go func() { d.done <- NewClients(c, loop).Run(ctx, ln) }()
 	t.Cleanup(stop)
 	return d
@@ -229,10 +229,10 @@
 }
 
 // text is a good request as it stands on the wire.
-func (d *door) text(t *testing.T, class, id string) string {
+func (d *testInstance) text(t *testing.T, class, id string) string {
 	t.Helper()
 	var text strings.Builder
-	if err := d.ask(t, class, func(r *http.Request) { r.Header.Set("Request-Id", id) }).Write(&text); err != nil {
+	if err := d.newRequest(t, class, func(r *http.Request) { r.Header.Set("Request-Id", id) }).Write(&text); err != nil {
 		t.Fatal(err)
 	}
 	return text.String()
--- a/internal/frontdoor/fuzz_test.go
+++ b/internal/frontdoor/fuzz_test.go
@@ -78,12 +78,12 @@
 			far.Write(text) // ends with the pipe
 			far.Close()
 		}()
-		c := &kept{Conn: near, place: &place{}}
-		c.bound.r = near
-		c.r = bufio.NewReaderSize(&c.bound, 2<<10)
+		c := &pooledConn{Conn: near, endpoint: &endpointPool{}}
+		c.limit.r = near
+		c.r = bufio.NewReaderSize(&c.limit, 2<<10)
 		r := &reply{result: gateway.NotSent}
 		_, err := b.read(context.Background(), c, &message{method: http.MethodGet}, r)
-		if err != nil && r.result != gateway.NotSent || len(r.body) > maxBody || r.hasUse && !(r.use >= 0 && r.use <= maxUse) {
+		if err != nil && r.result != gateway.NotSent || len(r.body) > maxBody || r.hasUsage && !(r.usage >= 0 && r.usage <= maxUsagePercent) {
 			t.Errorf("%q was read as %+v, %v", text, r, err)
 		}
 	})
@@ -133,10 +133,10 @@
 		return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(body)}, nil
 	})
 	f := newFollower(endless, prompt, "agent", 1, func(EndpointList) { t.Error("an endless list was taken") })
-	if err := f.fetch(t.Context()); !errors.Is(err, errBig) {
+	if err := f.fetch(t.Context()); !errors.Is(err, errTooLarge) {
 		t.Errorf("the endless list ended with %v", err)
 	}
-	if err := f.watch(t.Context()); !errors.Is(err, errBig) {
+	if err := f.watch(t.Context()); !errors.Is(err, errTooLarge) {
 		t.Errorf("the endless line ended with %v", err)
 	}
 }
@@ -145,7 +145,7 @@
 func repeat(text string) io.Reader {
 	return io.LimitReader(readerFunc(func(p []byte) (int, error) {
 		return copy(p, bytes.Repeat([]byte(text), len(p))), nil
-	}), 64*mostList)
+	}), 64*maxListBytes)
 }
 
 type readerFunc func([]byte) (int, error)
--- a/internal/frontdoor/lease_test.go
+++ b/internal/frontdoor/lease_test.go
@@ -24,7 +24,7 @@
 		t.Error("ready without a list")
 	}
 	patience := time.Second
-	ask := func(id gateway.RequestID) answer {
+	ask := func(id gateway.RequestID) finalResponse {
 		msg := &message{method: http.MethodGet, target: "/look", host: "origin.svc", header: http.Header{}}
 		a, err := loop.Serve(t.Context(), gateway.Request{ID: id, Customer: 1, Class: "look", Plan: "basic", Units: 1,
 			Patience: patience, Spread: 2}, msg)
@@ -33,12 +33,12 @@
 		}
 		return a
 	}
-	if a := ask(1); a.kind != refused || a.retryAfter <= 0 {
+	if a := ask(1); a.kind != rejected || a.retryAfter <= 0 {
 		t.Errorf("by the list of its configuration: %+v", a)
 	}
-	clients.started = clients.started.Add(-listWait)
+	clients.started = clients.started.Add(-firstListTimeout)
 	if !clients.ready() {
-		t.Errorf("not ready after %v", listWait)
+		t.Errorf("not ready after %v", firstListTimeout)
 	}
 	clients.started = time.Now()
 	addr := serve(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
@@ -70,7 +70,7 @@
 	c.Settings.AskForList = true
 	for _, connect := range []time.Duration{50 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second} {
 		c.Conns.Connect = connect
-		if lease := listLease(c); lease+connect >= toldAfter || lease < toldAfter/2 {
+		if lease := listLease(c); lease+connect >= stalenessBound || lease < stalenessBound/2 {
 			t.Errorf("a lease of %v with connections that take up to %v", lease, connect)
 		}
 	}
--- a/internal/frontdoor/lists.go
+++ b/internal/frontdoor/lists.go
@@ -12,33 +12,33 @@
 // The bounds on what discovery may send. A list's length is bounded by its entries and theirs, so that the longest list
 // that is needed passes, and a list or an entry without an end does not fill the memory.
 const (
-	mostList   = 4 << 20  // bytes of a list besides its entries, empty lines before it among them
-	mostEntry  = 64 << 10 // bytes of one entry, with what is read ahead behind it
-	mostHosts  = 150_000  // entries of one list: three times the fleet that is planned for
-	listBuffer = 16 << 10 // bytes read at once
+	maxListBytes   = 4 << 20  // bytes of a list besides its entries, empty lines before it among them
+	maxEntryBytes  = 64 << 10 // bytes of one entry, with what is read ahead behind it
+	maxHosts       = 150_000  // entries of one list: three times the fleet that is planned for
+	listBufferSize = 16 << 10 // bytes read at once
 )
 
 var (
-	errManyHosts = errors.New("the list has more entries than lists may have")
-	errNoObject  = errors.New("a list is no JSON object")
-	errNoHosts   = errors.New("a list's hosts are no array")
+	errTooManyHosts = errors.New("the list has more entries than lists may have")
+	errNoObject     = errors.New("a list is no JSON object")
+	errNoHosts      = errors.New("a list's hosts are no array")
 )
 
 // listReader reads lists one after another, each entry by entry: what it holds besides the entries that it has read is
 // a buffer and no text of a whole list.
 type listReader struct {
-	body    *bound
+	body    *limitedReader
 	decoder *json.Decoder
 }
 
 func newListReader(answer io.Reader) *listReader {
-	body := &bound{r: bufio.NewReaderSize(answer, listBuffer)}
+	body := &limitedReader{r: bufio.NewReaderSize(answer, listBufferSize)}
 	return &listReader{body: body, decoder: json.NewDecoder(body)}
 }
 
 // next reads one list. An error names the entry that it is about, and leaves nothing of the list.
 func (l *listReader) next() (EndpointList, error) {
-	l.body.left = mostList
+	l.body.remaining = maxListBytes
 	list := EndpointList{}
 	if start, err := l.decoder.Token(); err != nil {
 		return EndpointList{}, err
@@ -87,17 +87,17 @@
 	}
 	var hosts []Endpoint
 	for l.decoder.More() {
-		if len(hosts) == mostHosts {
-			return nil, fmt.Errorf("entry %d: %w", len(hosts)+1, errManyHosts)
+		if len(hosts) == maxHosts {
+			return nil, fmt.Errorf("entry %d: %w", len(hosts)+1, errTooManyHosts)
 		}
-		l.body.left = mostEntry
+		l.body.remaining = maxEntryBytes
 		var host Endpoint
 		if err := l.decoder.Decode(&host); err != nil {
 			return nil, fmt.Errorf("entry %d, %.60q: %w", len(hosts)+1, host.Host, err)
 		}
 		hosts = append(hosts, host)
 	}
-	l.body.left = mostList
+	l.body.remaining = maxListBytes
 	_, err = l.decoder.Token()
 	return hosts, err
 }
--- a/internal/frontdoor/lists_test.go
+++ b/internal/frontdoor/lists_test.go
@@ -74,16 +74,16 @@
 
 // A list that is no good is refused whole, by an error that names the entry.
 func TestBadListsNameTheEntry(t *testing.T) {
-	many := `{"hosts":[{"host":"a"}` + strings.Repeat(`,{}`, mostHosts) + `]}`
-	long := `{"hosts":[{"host":"a"},{"host":"` + strings.Repeat("x", 2*mostEntry) + `"}]}`
+	many := `{"hosts":[{"host":"a"}` + strings.Repeat(`,{}`, maxHosts) + `]}`
+	long := `{"hosts":[{"host":"a"},{"host":"` + strings.Repeat("x", 2*maxEntryBytes) + `"}]}`
 	for _, c := range []struct {
 		name, text, says string
 		is               error
-	}{{"too many", many, fmt.Sprintf("entry %d:", mostHosts+1), errManyHosts}, {"too long", long, "entry 2", errBig},
+	}{{"too many", many, fmt.Sprintf("entry %d:", maxHosts+1), errTooManyHosts}, {"too long", long, "entry 2", errTooLarge},
 		{"another type", `{"hosts":[{"host":"a"},{"host":"b","block":"no number"}]}`, `entry 2, "b"`, nil},
 		{"cut", `{"seq":1,"hosts":[{"host":"a"},{"host":"b"`, "entry 2", io.ErrUnexpectedEOF},
 		{"no object", `[1]`, "no JSON object", errNoObject}, {"no array", `{"hosts":{"host":"a"}}`, "no array", errNoHosts},
-		{"endless field", `{"new":"` + strings.Repeat("x", 2*mostList), "larger", errBig}} {
+		{"endless field", `{"new":"` + strings.Repeat("x", 2*maxListBytes), "larger", errTooLarge}} {
 		list, err := newListReader(strings.NewReader(c.text)).next()
 		if err == nil || !strings.Contains(err.Error(), c.says) || c.is != nil && !errors.Is(err, c.is) || len(list.Hosts) != 0 {
 			t.Errorf("%s: %d hosts, error %v", c.name, len(list.Hosts), err)
--- a/internal/frontdoor/loop.go
+++ b/internal/frontdoor/loop.go
@@ -29,46 +29,46 @@
 	return max(0, origin+time.UnixMilli(ms).Sub(c.start))
 }
 
-// errOpen refuses a request whose id is that of one still open.
-var errOpen = errors.New("a request with this id is open")
+// errDuplicateID refuses a request whose id is that of one still open.
+var errDuplicateID = errors.New("a request with this id is open")
 
-// answer is the one final answer to a request.
-type answer struct {
-	kind       answerKind
+// finalResponse is the one final answer to a request.
+type finalResponse struct {
+	kind       responseKind
 	retryAfter time.Duration // of a refusal; 0: no advice
 	reply      *reply        // of a served request
 }
 
-type answerKind uint8
+type responseKind uint8
 
 const (
-	served answerKind = iota
-	refused
+	served responseKind = iota
+	rejected
 	failed
 )
 
-// call is a request that was taken in. It stays in the table until it has its final answer and all of its
+// openRequest is a request that was taken in. It stays in the table until it has its final answer and all of its
 // attempts have ended.
-type call struct {
-	id       gateway.RequestID
-	msg      *message
-	due      time.Time   // attempts end by then
-	final    chan answer // takes the final answer, if there is one before the caller leaves
-	ended    bool
-	attempts []attempt
-	out      int // attempts that have not ended
+type openRequest struct {
+	id           gateway.RequestID
+	msg          *message
+	deadline     time.Time          // attempts end by then
+	response     chan finalResponse // takes the final answer, if there is one before the caller leaves
+	ended        bool
+	attempts     []attempt
+	attemptsOpen int // attempts that have not ended
 }
 
 // attempt is what can be done about an attempt that is out: unsend ends one of which nothing has been written whole,
 // and cancel one in any state.
-type attempt struct{ unsend, cancel context.CancelFunc }
+type attempt struct{ cancelUnsent, cancel context.CancelFunc }
 
-// end marks a request as ended. What has not left this front door by now never does, whatever the settings allow of
+// markEnded marks a request as ended. What has not left this front door by now never does, whatever the settings allow of
 // attempts that have.
-func (c *call) end() {
+func (c *openRequest) markEnded() {
 	c.ended = true
 	for _, a := range c.attempts {
-		a.unsend()
+		a.cancelUnsent()
 	}
 }
 
@@ -82,14 +82,14 @@
 type Loop struct {
 	clock    clock
 	backends *Backends
-	listed   atomic.Bool // discovery has told a list since this process started
-
-	mu      sync.Mutex
-	closed  bool // no event is handled any more
-	gateway decider
-	calls   map[gateway.RequestID]*call
-	events  []gateway.Event  // not yet handled; an action may add to them
-	actions []gateway.Action // kept for its memory
+	hasList  atomic.Bool // discovery has told a list since this process started
+
+	mu       sync.Mutex
+	closed   bool // no event is handled any more
+	gateway  decider
+	requests map[gateway.RequestID]*openRequest
+	events   []gateway.Event  // not yet handled; an action may add to them
+	actions  []gateway.Action // kept for its memory
 }
 
 // leaseMargin is what may go by between discovery's writing of a word and the moment in which it is taken in here.
@@ -102,7 +102,7 @@
 	if !c.Settings.AskForList {
 		return 0
 	}
-	return max(toldAfter/2, toldAfter-leaseMargin-c.Conns.Connect)
+	return max(stalenessBound/2, stalenessBound-leaseMargin-c.Conns.Connect)
 }
 
 // NewLoop starts a gateway that knows the backends of the configuration.
@@ -120,7 +120,7 @@
 }
 
 func newLoop(k clock, decisions decider, backends *Backends) *Loop {
-	return &Loop{clock: k, gateway: decisions, backends: backends, calls: map[gateway.RequestID]*call{}}
+	return &Loop{clock: k, gateway: decisions, backends: backends, requests: map[gateway.RequestID]*openRequest{}}
 }
 
 // Update takes in news from discovery.
@@ -130,11 +130,11 @@
 		kind = gateway.ListFull
 	}
 	l.update(list, kind)
-	l.listed.Store(true)
+	l.hasList.Store(true)
 }
 
 func (l *Loop) update(list EndpointList, kind gateway.ListKind) {
-	list.Hosts = usable(list.Hosts)
+	list.Hosts = validEndpoints(list.Hosts)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.handle(gateway.BackendList{Kind: kind, Backends: l.backends.update(list, l.clock)})
@@ -142,43 +142,43 @@
 
 // Serve passes a request to the gateway and waits for its final answer. When ctx ends first, the request has
 // ended without one: the gateway is told that the client has gone, and the context's error comes back.
-func (l *Loop) Serve(ctx context.Context, req gateway.Request, msg *message) (answer, error) {
-	c := &call{id: req.ID, msg: msg, due: time.Now().Add(req.Patience), final: make(chan answer, 1)}
+func (l *Loop) Serve(ctx context.Context, req gateway.Request, msg *message) (finalResponse, error) {
+	c := &openRequest{id: req.ID, msg: msg, deadline: time.Now().Add(req.Patience), response: make(chan finalResponse, 1)}
 	if err := l.begin(c, req); err != nil {
-		return answer{}, err
+		return finalResponse{}, err
 	}
 	select {
-	case a := <-c.final:
+	case a := <-c.response:
 		return a, nil
 	case <-ctx.Done():
 		if l.abandon(c) {
-			return answer{}, ctx.Err()
+			return finalResponse{}, ctx.Err()
 		}
-		return <-c.final, nil
+		return <-c.response, nil
 	}
 }
 
-func (l *Loop) begin(c *call, req gateway.Request) error {
+func (l *Loop) begin(c *openRequest, req gateway.Request) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.calls[c.id] != nil {
-		return errOpen
+	if l.requests[c.id] != nil {
+		return errDuplicateID
 	}
-	l.calls[c.id] = c
+	l.requests[c.id] = c
 	l.handle(req)
 	return nil
 }
 
 // abandon ends a request unless it has had its final answer.
-func (l *Loop) abandon(c *call) bool {
+func (l *Loop) abandon(c *openRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c.ended {
 		return false
 	}
-	c.end()
+	c.markEnded()
 	l.handle(gateway.ClientGone{Request: c.id})
-	l.forget(c)
+	l.remove(c)
 	return true
 }
 
@@ -188,22 +188,22 @@
 	for i := 0; i < len(l.events); i++ {
 		l.actions = l.gateway.Handle(l.clock.now(), l.events[i], l.actions[:0])
 		for _, a := range l.actions {
-			l.do(a)
+			l.execute(a)
 		}
 	}
 	l.events = l.events[:0]
 }
 
-func (l *Loop) do(a gateway.Action) {
+func (l *Loop) execute(a gateway.Action) {
 	switch a := a.(type) {
 	case gateway.Send:
 		l.send(a)
 	case gateway.Refuse:
-		l.finish(a.Request, answer{kind: refused, retryAfter: a.RetryAfter})
+		l.finish(a.Request, finalResponse{kind: rejected, retryAfter: a.RetryAfter})
 	case gateway.Fail:
-		l.finish(a.Request, answer{kind: failed})
+		l.finish(a.Request, finalResponse{kind: failed})
 	case gateway.Cancel:
-		if c := l.calls[a.Request]; c != nil && a.Attempt < len(c.attempts) {
+		if c := l.requests[a.Request]; c != nil && a.Attempt < len(c.attempts) {
 			c.attempts[a.Attempt].cancel()
 		}
 	case gateway.SetTimer:
@@ -233,66 +233,66 @@
 
 // send starts an attempt. One for a request that has ended is not sent.
 func (l *Loop) send(a gateway.Send) {
-	c := l.calls[a.Request]
+	c := l.requests[a.Request]
 	if c == nil {
 		slog.Error("the gateway sent a request that is not here", "request", a.Request)
 		return
 	}
 	n := len(c.attempts)
 	if c.ended {
-		c.attempts = append(c.attempts, attempt{unsend: func() {}, cancel: func() {}})
+		c.attempts = append(c.attempts, attempt{cancelUnsent: func() {}, cancel: func() {}})
 		l.events = append(l.events, gateway.Outcome{Request: c.id, Backend: a.Backend, Attempt: n, Result: gateway.NotSent,
 			Final: true})
 		return
 	}
-	due := c.due
+	due := c.deadline
 	if a.Timeout > 0 {
 		if t := time.Now().Add(a.Timeout); t.Before(due) {
 			due = t
 		}
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), due)
-	unsent, unsend := context.WithCancel(ctx)
+	unsent, cancelUnsent := context.WithCancel(ctx)
 	if a.Within > 0 {
-		unsent, unsend = context.WithTimeout(ctx, a.Within)
+		unsent, cancelUnsent = context.WithTimeout(ctx, a.Within)
 	}
-	c.attempts = append(c.attempts, attempt{unsend: unsend, cancel: cancel})
-	c.out++
+	c.attempts = append(c.attempts, attempt{cancelUnsent: cancelUnsent, cancel: cancel})
+	c.attemptsOpen++
 	sent := l.clock.now()
 	go func() {
 		defer cancel() // and unsent with it
 		r := l.backends.send(ctx, unsent, a.Backend, c.msg)
 		l.outcome(c, r, gateway.Outcome{Request: c.id, Backend: a.Backend, Attempt: n, Result: r.result,
-			Took: l.clock.now() - sent, HasUse: r.hasUse, Use: r.use, Load: r.load})
+			Took: l.clock.now() - sent, HasUse: r.hasUsage, Use: r.usage, Load: r.load})
 	}()
 }
 
 // outcome ends an attempt. The first good answer of a request goes to its client.
-func (l *Loop) outcome(c *call, r *reply, ev gateway.Outcome) {
+func (l *Loop) outcome(c *openRequest, r *reply, ev gateway.Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r.result == gateway.Answered {
-		l.finish(c.id, answer{kind: served, reply: r})
+		l.finish(c.id, finalResponse{kind: served, reply: r})
 	}
 	ev.Final = c.ended
-	c.out--
+	c.attemptsOpen--
 	l.handle(ev)
-	l.forget(c)
+	l.remove(c)
 }
 
 // finish gives a request its final answer. Only the first one counts.
-func (l *Loop) finish(id gateway.RequestID, a answer) {
-	c := l.calls[id]
+func (l *Loop) finish(id gateway.RequestID, a finalResponse) {
+	c := l.requests[id]
 	if c == nil || c.ended {
 		return
 	}
-	c.end()
-	c.final <- a
-	l.forget(c)
+	c.markEnded()
+	c.response <- a
+	l.remove(c)
 }
 
-func (l *Loop) forget(c *call) {
-	if c.ended && c.out == 0 && l.calls[c.id] == c {
-		delete(l.calls, c.id)
+func (l *Loop) remove(c *openRequest) {
+	if c.ended && c.attemptsOpen == 0 && l.requests[c.id] == c {
+		delete(l.requests, c.id)
 	}
 }
--- a/internal/frontdoor/pace_test.go
+++ b/internal/frontdoor/pace_test.go
@@ -51,7 +51,7 @@
 		var all sync.WaitGroup
 		for range doors {
 			all.Go(func() {
-				newFollower(busy(true), pace{shared: true}, "discovery", 1, func(EndpointList) {}).keepWatching(ctx)
+				newFollower(busy(true), retryPolicy{sharedService: true}, "discovery", 1, func(EndpointList) {}).keepWatching(ctx)
 			})
 		}
 		all.Wait()
@@ -65,34 +65,34 @@
 // Pauses are drawn from all of what a failure calls for, and never from more.
 func TestPausesStayInBounds(t *testing.T) {
 	const grace, mustAsk = time.Second, 800 * time.Millisecond
-	service := pace{shared: true, grace: grace}
-	strict := pace{shared: true, grace: grace, mustAsk: mustAsk}
-	broken, full := io.ErrUnexpectedEOF, &refusedError{after: 4 * time.Millisecond}
-	late := &refusedError{after: askWait}
+	service := retryPolicy{sharedService: true, grace: grace}
+	strict := retryPolicy{sharedService: true, grace: grace, staleAfterFailure: mustAsk}
+	broken, full := io.ErrUnexpectedEOF, &statusError{took: 4 * time.Millisecond}
+	late := &statusError{took: maxQueueWait}
 	for _, c := range []struct {
 		name    string
-		pace    pace
+		pace    retryPolicy
 		failure failure
 		most    time.Duration
 	}{
-		{"a broken watch", service, failure{err: broken, inRow: 1, listed: true, slack: 4 * time.Second}, retryLeast},
-		{"four breaks", service, failure{err: broken, inRow: 4, listed: true}, 8 * retryLeast},
-		{"many breaks", service, failure{err: broken, inRow: 1 << 40, listed: true}, retryMost},
-		{"many breaks, and no list", service, failure{err: broken, inRow: 1 << 40}, retryNew},
-		{"refused with time left", service, failure{err: full, inRow: 2, listed: true, slack: 2 * time.Second}, 2 * time.Second},
-		{"refused with little time left", service, failure{err: full, inRow: 2, listed: true, slack: 1}, retryLeast},
-		{"refused with no time left", service, failure{err: full, inRow: 2, listed: true, slack: -time.Hour}, retryBusy},
-		{"refused often, and no list", service, failure{err: full, inRow: 1 << 40}, retryLeast},
-		{"refused late", service, failure{err: late, inRow: 1, listed: true, slack: 4 * time.Second}, retryLeast},
-		{"refused late many times", service, failure{err: late, inRow: 1 << 40, listed: true}, retryMost},
-		{"refused late many times, and no list", service, failure{err: late, inRow: 1 << 40}, retryNew},
-		{"refused where one must ask soon", strict, failure{err: full, inRow: 1, listed: true}, mustAsk},
-		{"an agent", pace{grace: grace}, failure{err: broken, inRow: 1}, grace / 4},
-		{"an agent, many times", pace{grace: grace}, failure{err: full, inRow: 1 << 40}, grace / 4},
+		{"a broken watch", service, failure{err: broken, consecutive: 1, hasList: true, slack: 4 * time.Second}, retryBase},
+		{"four breaks", service, failure{err: broken, consecutive: 4, hasList: true}, 8 * retryBase},
+		{"many breaks", service, failure{err: broken, consecutive: 1 << 40, hasList: true}, retryMax},
+		{"many breaks, and no list", service, failure{err: broken, consecutive: 1 << 40}, retryMaxNew},
+		{"refused with time left", service, failure{err: full, consecutive: 2, hasList: true, slack: 2 * time.Second}, 2 * time.Second},
+		{"refused with little time left", service, failure{err: full, consecutive: 2, hasList: true, slack: 1}, retryBase},
+		{"refused with no time left", service, failure{err: full, consecutive: 2, hasList: true, slack: -time.Hour}, retryMaxBusy},
+		{"refused often, and no list", service, failure{err: full, consecutive: 1 << 40}, retryBase},
+		{"refused late", service, failure{err: late, consecutive: 1, hasList: true, slack: 4 * time.Second}, retryBase},
+		{"refused late many times", service, failure{err: late, consecutive: 1 << 40, hasList: true}, retryMax},
+		{"refused late many times, and no list", service, failure{err: late, consecutive: 1 << 40}, retryMaxNew},
+		{"refused where one must ask soon", strict, failure{err: full, consecutive: 1, hasList: true}, mustAsk},
+		{"an agent", retryPolicy{grace: grace}, failure{err: broken, consecutive: 1}, grace / 4},
+		{"an agent, many times", retryPolicy{grace: grace}, failure{err: full, consecutive: 1 << 40}, grace / 4},
 	} {
 		longest := time.Duration(0)
 		for range 1000 {
-			longest = max(longest, c.pace.retry(c.failure))
+			longest = max(longest, c.pace.pause(c.failure))
 		}
 		if longest >= c.most || longest < c.most*3/4 {
 			t.Errorf("%s: pauses up to %v, %v wanted", c.name, longest, c.most)
@@ -115,7 +115,7 @@
 			return nil, r.Context().Err()
 		})
 		const grace = 400 * time.Millisecond
-		p := paceOf(Config{Settings: gateway.Settings{FrontDoors: 300, DrainGrace: grace}})
+		p := newRetryPolicy(Config{Settings: gateway.Settings{FrontDoors: 300, DrainGrace: grace}})
 		newFollower(silent, p, "agent", 1, func(EndpointList) {}).keepWatching(ctx)
 		if len(asked) == 0 || asked[0] > 0 {
 			t.Fatalf("asked first at %v", asked)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -34,34 +34,34 @@
 	Settings gateway.Settings
 }
 
-type line struct {
-	M        string          `json:"m"`
-	At       *int64          `json:"at_time_us"`
-	Door     *int            `json:"door"`
-	Seed     uint64          `json:"random_seed"`
-	Params   json.RawMessage `json:"params"`
-	Mode     string          `json:"mode"`
-	Elements []entry         `json:"elements"`
-	Txn      *string         `json:"txn"`
-	Spread   float64         `json:"spread"`
-	First    float64         `json:"first_door"`
-	Terms    string          `json:"terms"`
-	Grade    string          `json:"grade"`
-	Grace    int64           `json:"grace_us"`
-	Units    float64         `json:"cost_units"`
-	Caller   uint64          `json:"caller"`
-	Took     int64           `json:"duration_us"`
-	Try      int             `json:"try"`
-	Use      int64           `json:"seen_use"`
-	Backend  *uint32         `json:"backend"`
-	Code     string          `json:"rc"`
-	Last     bool            `json:"last"`
-	Settled  float64         `json:"settled"`
-	Load     []float64       `json:"health_info"`
-	Ref      *uint64         `json:"ref"`
+type rawMessage struct {
+	Kind          string          `json:"m"`
+	AtUS          *int64          `json:"at_time_us"`
+	Instance      *int            `json:"door"`
+	Seed          uint64          `json:"random_seed"`
+	Params        json.RawMessage `json:"params"`
+	Mode          string          `json:"mode"`
+	Entries       []listEntry     `json:"elements"`
+	Request       *string         `json:"txn"`
+	Spread        float64         `json:"spread"`
+	FirstInstance float64         `json:"first_door"`
+	Plan          string          `json:"terms"`
+	Class         string          `json:"grade"`
+	Patience      int64           `json:"grace_us"`
+	Units         float64         `json:"cost_units"`
+	Customer      uint64          `json:"caller"`
+	Took          int64           `json:"duration_us"`
+	Attempt       int             `json:"try"`
+	UsePlusOne    int64           `json:"seen_use"`
+	Backend       *uint32         `json:"backend"`
+	Result        string          `json:"rc"`
+	Final         bool            `json:"last"`
+	SettledUnits  float64         `json:"settled"`
+	Load          []float64       `json:"health_info"`
+	TimerToken    *uint64         `json:"ref"`
 }
 
-type entry struct {
+type listEntry struct {
 	Power   float64 `json:"power_hint"`
 	Health  string  `json:"health"`
 	Zone    string  `json:"az"`
@@ -71,7 +71,7 @@
 	Backend *uint32 `json:"backend"`
 }
 
-type params struct {
+type settingsJSON struct {
 	Balancers int    `json:"balancers"`
 	Me        int    `json:"me"`
 	Zone      string `json:"zone"`
@@ -143,7 +143,7 @@
 
 var groups = map[string]gateway.Group{"": gateway.GroupAll, "all": gateway.GroupAll, "zone": gateway.GroupZone, "cell": gateway.GroupCell}
 
-func us(v int64) time.Duration {
+func micros(v int64) time.Duration {
 	if v > math.MaxInt64/1000 {
 		v = math.MaxInt64 / 1000
 	}
@@ -155,30 +155,30 @@
 
 // Decode reads one line. It refuses what is malformed and skips what it does not know.
 func Decode(text []byte) (Message, error) {
-	var l line
+	var l rawMessage
 	var m Message
 	if err := json.Unmarshal(text, &l); err != nil {
 		return m, fmt.Errorf("not a message: %w", err)
 	}
-	switch l.M {
+	switch l.Kind {
 	case "":
 		return m, errors.New("a message without a name")
 	case "clock":
-		if l.At == nil {
+		if l.AtUS == nil {
 			return m, errors.New("a clock line without a time")
 		}
-		m.Clock, m.At = true, us(*l.At)
+		m.Clock, m.At = true, micros(*l.AtUS)
 		return m, nil
 	case "eob":
 		m.End = true
 		return m, nil
 	}
-	if l.Door == nil {
-		return m, fmt.Errorf("%s without an instance", l.M)
+	if l.Instance == nil {
+		return m, fmt.Errorf("%s without an instance", l.Kind)
 	}
-	m.Instance = *l.Door
+	m.Instance = *l.Instance
 	var err error
-	switch l.M {
+	switch l.Kind {
 	case "boot":
 		m.Start, err = decodeStart(l)
 	case "detach":
@@ -192,7 +192,7 @@
 	case "established":
 		var id gateway.RequestID
 		id, err = requestID(l)
-		m.Event = gateway.AnswerStarted{Request: id, Attempt: l.Try}
+		m.Event = gateway.AnswerStarted{Request: id, Attempt: l.Attempt}
 	case "client_left":
 		var id gateway.RequestID
 		id, err = requestID(l)
@@ -201,13 +201,13 @@
 		if l.Backend == nil {
 			return m, errors.New("sampled without a backend")
 		}
-		m.Event = gateway.ProbeResult{Backend: gateway.BackendID(*l.Backend), Result: result(l.Code), Took: us(l.Took),
+		m.Event = gateway.ProbeResult{Backend: gateway.BackendID(*l.Backend), Result: result(l.Result), Took: micros(l.Took),
 			Load: l.Load}
 	case "reminder":
-		if l.Ref == nil {
+		if l.TimerToken == nil {
 			return m, errors.New("reminder without a ref")
 		}
-		m.Event = gateway.Timer{Token: *l.Ref}
+		m.Event = gateway.Timer{Token: *l.TimerToken}
 	}
 	return m, err
 }
@@ -219,26 +219,26 @@
 	return gateway.Unknown
 }
 
-func requestID(l line) (gateway.RequestID, error) {
-	if l.Txn == nil || len(*l.Txn) != 16 {
-		return 0, fmt.Errorf("%s without a request id of 16 hex digits", l.M)
+func requestID(l rawMessage) (gateway.RequestID, error) {
+	if l.Request == nil || len(*l.Request) != 16 {
+		return 0, fmt.Errorf("%s without a request id of 16 hex digits", l.Kind)
 	}
-	v, err := strconv.ParseUint(*l.Txn, 16, 64)
-	if err != nil || formatID(gateway.RequestID(v)) != *l.Txn {
-		return 0, fmt.Errorf("%s with the request id %q", l.M, *l.Txn)
+	v, err := strconv.ParseUint(*l.Request, 16, 64)
+	if err != nil || formatID(gateway.RequestID(v)) != *l.Request {
+		return 0, fmt.Errorf("%s with the request id %q", l.Kind, *l.Request)
 	}
 	return gateway.RequestID(v), nil
 }
 
 func formatID(id gateway.RequestID) string { return fmt.Sprintf("%016x", uint64(id)) }
 
-func decodeRequest(l line) (gateway.Event, error) {
+func decodeRequest(l rawMessage) (gateway.Event, error) {
 	id, err := requestID(l)
-	return gateway.Request{ID: id, Customer: gateway.CustomerID(l.Caller), Class: l.Grade, Plan: l.Terms,
-		Units: l.Units, Patience: us(l.Grace), FirstDoor: int(l.First), Spread: int(l.Spread)}, err
+	return gateway.Request{ID: id, Customer: gateway.CustomerID(l.Customer), Class: l.Class, Plan: l.Plan,
+		Units: l.Units, Patience: micros(l.Patience), FirstDoor: int(l.FirstInstance), Spread: int(l.Spread)}, err
 }
 
-func decodeOutcome(l line) (gateway.Event, error) {
+func decodeOutcome(l rawMessage) (gateway.Event, error) {
 	id, err := requestID(l)
 	if err == nil && l.Backend == nil {
 		err = errors.New("an outcome without a backend")
@@ -246,29 +246,29 @@
 	if err != nil {
 		return nil, err
 	}
-	return gateway.Outcome{Request: id, Backend: gateway.BackendID(*l.Backend), Attempt: l.Try, Result: result(l.Code),
-		Took: us(l.Took), Final: l.Last, HasUse: l.Use > 0, Use: float64(l.Use - 1), Units: l.Settled,
+	return gateway.Outcome{Request: id, Backend: gateway.BackendID(*l.Backend), Attempt: l.Attempt, Result: result(l.Result),
+		Took: micros(l.Took), Final: l.Final, HasUse: l.UsePlusOne > 0, Use: float64(l.UsePlusOne - 1), Units: l.SettledUnits,
 		Load: l.Load}, nil
 }
 
-func decodeList(l line) (gateway.Event, error) {
+func decodeList(l rawMessage) (gateway.Event, error) {
 	kind, ok := modes[l.Mode]
 	if !ok {
 		return nil, fmt.Errorf("a list of unknown kind %q", l.Mode)
 	}
 	out := gateway.BackendList{Kind: kind}
-	for _, e := range l.Elements {
+	for _, e := range l.Entries {
 		state, ok := states[e.Health]
 		if !ok || e.Backend == nil {
 			return nil, fmt.Errorf("a list entry without a backend or with the state %q", e.Health)
 		}
 		out.Backends = append(out.Backends, gateway.BackendInfo{ID: gateway.BackendID(*e.Backend), State: state,
-			Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Started: us(e.Boot), Weight: e.Power})
+			Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Started: micros(e.Boot), Weight: e.Power})
 	}
 	return out, nil
 }
 
-func decodeStart(l line) (*Start, error) {
+func decodeStart(l rawMessage) (*Start, error) {
 	if len(l.Params) == 0 {
 		return nil, errors.New("boot without settings")
 	}
@@ -286,24 +286,24 @@
 	Connect time.Duration // one that is not up by then counts as failed
 	// MustAsk: where the list must be asked for, what was listed this long ago counts as told to a front door that has
 	// not asked since; 0: not so
-	MustAsk time.Duration
+	StaleAfter time.Duration
 }
 
 // DecodeSettings reads the settings of an instance. They have the same form on the wire and in the
 // configuration of a real front door.
 func DecodeSettings(text []byte) (gateway.Settings, Connections, error) {
-	var p params
+	var p settingsJSON
 	if err := json.Unmarshal(text, &p); err != nil {
 		return gateway.Settings{}, Connections{}, fmt.Errorf("settings: %w", err)
 	}
-	s := gateway.Settings{FrontDoors: p.Balancers, Me: p.Me, Zone: p.Zone, MeterPeriod: us(p.Family.Meter),
+	s := gateway.Settings{FrontDoors: p.Balancers, Me: p.Me, Zone: p.Zone, MeterPeriod: micros(p.Family.Meter),
 		LargestUnits: p.Family.Largest, MaxAttempts: p.Limits.Attempts, ParallelTries: p.Limits.Parallel,
 		CanCancel: p.Limits.Cancel, CanProbe: p.Limits.Probes, AskForList: p.Discovery == "on_request",
-		LoadColumns: p.Stats.Columns, LoadInAnswers: p.Stats.How == "answers", AnswerGrace: us(p.Duties.Grace),
-		DrainGrace: us(p.Duties.Drain), ColdFrom: p.Duties.ColdFrom, WarmWithin: us(p.Duties.Warm),
-		FallMultiple: p.Duties.Multiple, FallFor: us(p.Duties.Fall)}
+		LoadColumns: p.Stats.Columns, LoadInAnswers: p.Stats.How == "answers", AnswerGrace: micros(p.Duties.Grace),
+		DrainGrace: micros(p.Duties.Drain), ColdFrom: p.Duties.ColdFrom, WarmWithin: micros(p.Duties.Warm),
+		FallMultiple: p.Duties.Multiple, FallFor: micros(p.Duties.Fall)}
 	if p.Limits.RetryAfter {
-		s.MaxRetryAfter = us(p.Limits.MaxAfter)
+		s.MaxRetryAfter = micros(p.Limits.MaxAfter)
 	}
 	for _, c := range p.Lanes {
 		effect, ok := effects[c.Effect]
@@ -313,7 +313,7 @@
 				c.Name, c.Effect, c.Group)
 		}
 		s.Classes = append(s.Classes, gateway.Class{Name: c.Name, Effect: effect, Group: group,
-			KeyWindow: us(c.KeyTTL), Aim: us(c.Aim), Deadline: us(c.Deadline), Worth: c.Gain,
+			KeyWindow: micros(c.KeyTTL), Aim: micros(c.Aim), Deadline: micros(c.Deadline), Worth: c.Gain,
 			LateWorth: c.LateValue, Stream: c.Stream})
 	}
 	for _, t := range p.Tariffs {
@@ -321,30 +321,30 @@
 			Price: t.Value, OverWorth: t.OverWorth, OverCost: t.OverCost, CeilingRate: t.CeilRate,
 			CeilingBurst: t.CeilDepth, CeilingSlack: t.CeilSlack})
 	}
-	return s, Connections{Idle: us(p.Limits.ConnIdle), Connect: us(p.Limits.Connect),
-		MustAsk: us(p.Duties.MustAsk)}, nil
+	return s, Connections{Idle: micros(p.Limits.ConnIdle), Connect: micros(p.Limits.Connect),
+		StaleAfter: micros(p.Duties.MustAsk)}, nil
 }
 
 // AppendAction writes one action of an instance as a line.
-func AppendAction(b *bytes.Buffer, door int, a gateway.Action) {
+func AppendAction(b *bytes.Buffer, instance int, a gateway.Action) {
 	switch a := a.(type) {
 	case gateway.Send:
-		fmt.Fprintf(b, `{"m":"assign","door":%d,"txn":"%s","max_wait_us":%d,"backend":%d}`, door,
+		fmt.Fprintf(b, `{"m":"assign","door":%d,"txn":"%s","max_wait_us":%d,"backend":%d}`, instance,
 			formatID(a.Request), a.Timeout.Microseconds(), a.Backend)
 	case gateway.Refuse:
-		fmt.Fprintf(b, `{"m":"reject","door":%d,"txn":"%s","not_before_for_us":%d}`, door,
+		fmt.Fprintf(b, `{"m":"reject","door":%d,"txn":"%s","not_before_for_us":%d}`, instance,
 			formatID(a.Request), a.RetryAfter.Microseconds())
 	case gateway.Fail:
-		fmt.Fprintf(b, `{"m":"surrender","door":%d,"txn":"%s"}`, door, formatID(a.Request))
+		fmt.Fprintf(b, `{"m":"surrender","door":%d,"txn":"%s"}`, instance, formatID(a.Request))
 	case gateway.Cancel:
-		fmt.Fprintf(b, `{"m":"recall","door":%d,"txn":"%s","try":%d}`, door, formatID(a.Request), a.Attempt)
+		fmt.Fprintf(b, `{"m":"recall","door":%d,"txn":"%s","try":%d}`, instance, formatID(a.Request), a.Attempt)
 	case gateway.SetTimer:
-		fmt.Fprintf(b, `{"m":"timer","door":%d,"from_now_us":%d,"ref":%d}`, door,
+		fmt.Fprintf(b, `{"m":"timer","door":%d,"from_now_us":%d,"ref":%d}`, instance,
 			min(max(a.After, 0), MaxTimer).Microseconds(), a.Token)
 	case gateway.Probe:
-		fmt.Fprintf(b, `{"m":"poll","door":%d,"backend":%d}`, door, a.Backend)
+		fmt.Fprintf(b, `{"m":"poll","door":%d,"backend":%d}`, instance, a.Backend)
 	case gateway.Subscribe:
-		fmt.Fprintf(b, `{"m":"follow","door":%d,"want":true}`, door)
+		fmt.Fprintf(b, `{"m":"follow","door":%d,"want":true}`, instance)
 	default:
 		return
 	}
