--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -21,14 +21,10 @@
 	}
 }
 
-// run serves until the input ends. An input that ends inside a batch is an error.
+// run serves until the input ends. An input that ends inside a batch is an error; errors name the line.
 func run(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, 1<<20)
-	instances := map[int]*gateway.Gateway{}
-	var reply bytes.Buffer
-	var actions []gateway.Action
-	var now time.Duration
-	inBatch := false
+	r := bufio.NewReaderSize(in, readBuffer)
+	a := adapter{out: out, instances: map[int]*gateway.Gateway{}}
 	for number := 1; ; number++ {
 		text, err := r.ReadBytes('\n')
 		if err != nil && err != io.EOF {
@@ -37,46 +33,78 @@
 		text = bytes.TrimSpace(text)
 		if len(text) == 0 {
 			if err == io.EOF {
-				if inBatch {
-					return fmt.Errorf("line %d: the input ended inside a batch", number)
-				}
-				return nil
+				return a.end(number)
 			}
 			continue
 		}
-		m, decodeErr := wire.Decode(text)
-		if decodeErr != nil {
-			return fmt.Errorf("line %d: %w", number, decodeErr)
+		m, err := wire.Decode(text)
+		if err != nil {
+			return fmt.Errorf("line %d: %w", number, err)
 		}
-		switch {
-		case m.Clock != !inBatch:
-			return fmt.Errorf("line %d: out of order: a batch runs from a clock line to its end", number)
-		case m.Clock:
-			inBatch, now = true, m.At
-		case m.End:
-			inBatch = false
-			wire.AppendEnd(&reply)
-			if _, err := out.Write(reply.Bytes()); err != nil {
-				return err
-			}
-			reply.Reset()
-		case m.Start != nil:
-			g, err := gateway.New(m.Start.Settings, m.Start.Seed, now)
-			if err != nil {
-				return fmt.Errorf("line %d: %w", number, err)
-			}
-			instances[m.Instance] = g
-		case m.Stop:
-			delete(instances, m.Instance)
-		case m.Event != nil:
-			g := instances[m.Instance]
-			if g == nil {
-				return fmt.Errorf("line %d: an event for instance %d, which is not running", number, m.Instance)
-			}
-			actions = g.Handle(now, m.Event, actions[:0])
-			for _, a := range actions {
-				wire.AppendAction(&reply, m.Instance, a)
-			}
+		if err := a.handle(number, m); err != nil {
+			return err
+		}
+	}
+}
+
+// readBuffer is read at once, in bytes.
+const readBuffer = 1 << 20
+
+// adapter hosts the instances and gathers their actions until a batch ends.
+type adapter struct {
+	out       io.Writer
+	instances map[int]*gateway.Gateway
+	reply     bytes.Buffer
+	actions   []gateway.Action // reused for its memory
+	now       time.Duration    // of the batch
+	inBatch   bool
+}
+
+// end checks that the input, whose last line has this number, did not end inside a batch.
+func (a *adapter) end(number int) error {
+	if a.inBatch {
+		return fmt.Errorf("line %d: the input ended inside a batch", number)
+	}
+	return nil
+}
+
+// handle carries out one message.
+func (a *adapter) handle(number int, m wire.Message) error {
+	switch {
+	case m.Clock != !a.inBatch:
+		return fmt.Errorf("line %d: out of order: a batch runs from a clock line to its end", number)
+	case m.Clock:
+		a.inBatch, a.now = true, m.At
+	case m.End:
+		a.inBatch = false
+		return a.flush()
+	case m.Start != nil:
+		g, err := gateway.New(m.Start.Settings, m.Start.Seed, a.now)
+		if err != nil {
+			return fmt.Errorf("line %d: %w", number, err)
 		}
+		a.instances[m.Instance] = g
+	case m.Stop:
+		delete(a.instances, m.Instance)
+	case m.Event != nil:
+		g := a.instances[m.Instance]
+		if g == nil {
+			return fmt.Errorf("line %d: an event for instance %d, which is not running", number, m.Instance)
+		}
+		a.actions = g.Handle(a.now, m.Event, a.actions[:0])
+		for _, action := range a.actions {
+			wire.AppendAction(&a.reply, m.Instance, action)
+		}
+	}
+	return nil
+}
+
+// flush writes the reply to a batch.
+func (a *adapter) flush() error {
+	wire.AppendEnd(&a.reply)
+	if _, err := a.out.Write(a.reply.Bytes()); err != nil {
+		return err
 	}
+	a.reply.Reset()
+	return nil
 }
--- a/internal/frontdoor/backends.go
+++ b/internal/frontdoor/backends.go
@@ -4,10 +4,8 @@
 	"bytes"
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"log/slog"
-	"math"
 	"net"
 	"net/http"
 	"net/url"
@@ -174,13 +172,7 @@
 	}
 	c, err := b.write(ctx, unsent, id, endpoint, m)
 	if err != nil {
-		if unsent.Err() == nil && !errors.Is(err, errAttemptObsolete) && !errors.Is(err, errPoolFull) &&
-			!errors.Is(err, syscall.EMFILE) {
-			r.result = gateway.NoConnection
-		}
-		if context.Cause(ctx) == context.Canceled {
-			r.result = gateway.Cancelled
-		}
+		r.result = unsentResult(ctx, unsent, err)
 		b.logFailure(endpoint, err)
 		return r
 	}
@@ -191,22 +183,40 @@
 	} else {
 		b.pool.close(c)
 	}
-	switch {
-	case err == nil:
+	if err == nil {
 		return r
+	}
+	r.result = failedResult(ctx, err)
+	if r.result == gateway.Broken || r.result == gateway.Unknown {
+		b.logFailure(endpoint, err)
+	}
+	return r
+}
+
+// unsentResult is the result of an attempt whose request could not be written whole. Only a failure of the backend's
+// counts as one: not the end of the attempt, nor a shortage of connections or descriptors here.
+func unsentResult(ctx, unsent context.Context, err error) gateway.Result {
+	switch {
 	case context.Cause(ctx) == context.Canceled:
-		r.result = gateway.Cancelled
-		return r
+		return gateway.Cancelled
+	case unsent.Err() != nil || errors.Is(err, errAttemptObsolete) || errors.Is(err, errPoolFull) ||
+		errors.Is(err, syscall.EMFILE):
+		return gateway.NotSent
+	}
+	return gateway.NoConnection
+}
+
+// failedResult is the result of an attempt that was sent and has no usable response.
+func failedResult(ctx context.Context, err error) gateway.Result {
+	switch {
+	case context.Cause(ctx) == context.Canceled:
+		return gateway.Cancelled
 	case ctx.Err() != nil:
-		r.result = gateway.TimedOut
-		return r
+		return gateway.TimedOut
 	case errors.Is(err, errConnClosed):
-		r.result = gateway.Broken
-	default: // spoilt: the backend is as well as before, and the request may have run
-		r.result = gateway.Unknown
+		return gateway.Broken
 	}
-	b.logFailure(endpoint, err)
-	return r
+	return gateway.Unknown // a malformed response: the backend is as well as before, and the request may have run
 }
 
 func (b *Backends) logFailure(endpoint *endpointPool, err error) {
@@ -278,99 +288,6 @@
 	return text.Bytes(), err
 }
 
-var (
-	errConnClosed     = errors.New("the connection ended before an answer")
-	errNoLength       = errors.New("the answer does not tell its length")
-	errProtocolSwitch = errors.New("the answer switches protocols")
-)
-
-// read takes in a whole answer, and tells whether the backend leaves the connection open. An error means that
-// there was no answer that can be used.
-func (b *Backends) read(ctx context.Context, c *pooledConn, m *message, r *reply) (keep bool, err error) {
-	c.limit.remaining = maxResponseHead
-	if _, err := c.r.Peek(1); err != nil {
-		return false, fmt.Errorf("%w: %w", errConnClosed, err)
-	}
-	// The context's end may have set a deadline already, which this must not undo.
-	c.SetReadDeadline(time.Now().Add(responseTimeout))
-	if err := ctx.Err(); err != nil {
-		return false, err
-	}
-	res, err := http.ReadResponse(c.r, &http.Request{Method: m.method})
-	for err == nil && res.StatusCode < 200 && res.StatusCode != http.StatusSwitchingProtocols {
-		res, err = http.ReadResponse(c.r, &http.Request{Method: m.method})
-	}
-	if err != nil {
-		return false, err
-	}
-	body, err := readResponseBody(c, res)
-	if err != nil {
-		return false, err
-	}
-	switch {
-	case res.StatusCode == http.StatusOK:
-		r.result, r.body, r.contentType = gateway.Answered, body, res.Header["Content-Type"]
-	case (res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusGatewayTimeout) &&
-		res.Header.Get("Not-Started") == "1":
-		r.result = gateway.Refused
-	default:
-		r.result = gateway.AnsweredErr // it may have run
-	}
-	if v, err := strconv.ParseFloat(res.Header.Get("X-RateLimit-Used"), 64); err == nil && v >= 0 && v <= maxUsagePercent {
-		r.hasUsage, r.usage = true, v
-	}
-	r.load = b.parseLoad(res.Header.Get("Server-Load"))
-	return !res.Close, nil
-}
-
-// readResponseBody reads an answer's body. One that only the connection's end would end can't be told from a cut one.
-func readResponseBody(c *pooledConn, res *http.Response) ([]byte, error) {
-	c.limit.remaining = 2 * maxBody // chunks take more room than what is in them
-	switch {
-	case res.StatusCode == http.StatusSwitchingProtocols:
-		return nil, errProtocolSwitch
-	case res.ContentLength > maxBody:
-		return nil, errTooLarge
-	case res.ContentLength >= 0:
-		body := make([]byte, res.ContentLength)
-		_, err := io.ReadFull(res.Body, body)
-		return body, err
-	case len(res.TransferEncoding) == 0:
-		return nil, errNoLength
-	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxBody+1))
-	if err == nil && len(body) > maxBody {
-		err = errTooLarge
-	}
-	return body, err
-}
-
-// parseLoad reads a load report such as "queue=2,qps=31"; nil if it does not hold all that the settings name.
-func (b *Backends) parseLoad(text string) []float64 {
-	if text == "" || len(b.loadColumns) == 0 {
-		return nil
-	}
-	load := make([]float64, len(b.loadColumns))
-	found := 0
-	for field := range strings.SplitSeq(text, ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
-		for i, column := range b.loadColumns {
-			if name == column {
-				v, err := strconv.ParseFloat(value, 64)
-				if err != nil || !(v >= 0) || math.IsInf(v, 0) {
-					return nil
-				}
-				load[i] = v
-				found++
-			}
-		}
-	}
-	if found != len(load) {
-		return nil
-	}
-	return load
-}
-
 // probe asks a backend for its health, with its load if there are reports.
 func (b *Backends) probe(id gateway.BackendID) gateway.ProbeResult {
 	out := gateway.ProbeResult{Backend: id}
--- a/internal/frontdoor/clients.go
+++ b/internal/frontdoor/clients.go
@@ -4,13 +4,10 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
-	"math"
 	"net"
 	"net/http"
 	"strconv"
-	"strings"
 	"sync/atomic"
 	"time"
 
@@ -28,8 +25,6 @@
 	responseMargin = 20 * time.Millisecond
 	marginDivisor  = 8 // of the client's time, the gateway's margin takes one part of so many at most
 
-	maxCustomer = 1 << 33
-
 	// A client that sends no whole request within headTime and bodyTime of its beginning is not one of ours. A new
 	// connection's head counts from its accept.
 	headTimeout = 1500 * time.Millisecond
@@ -163,27 +158,38 @@
 		}
 		return
 	}
-	req, msg, timeout, err := c.parse(r)
+	parsed, err := c.parse(r)
 	if err == nil {
-		msg.body, err = readBody(w, r, msg.method)
+		parsed.msg.body, err = readBody(w, r, parsed.msg.method)
 	}
-	if killed := c.killTime.Load(); killed != nil {
-		timeout = min(timeout, killed.Sub(arrived)) // what comes late must have its answer by then as well
+	if killTime := c.killTime.Load(); killTime != nil {
+		parsed.timeout = min(parsed.timeout, killTime.Sub(arrived)) // what comes late must have its answer by then as well
 	}
 	if err == nil {
-		forGateway, responseTime := margins(timeout)
-		req.Patience = timeout - forGateway - time.Since(arrived)
-		ctx, cancel := context.WithDeadline(r.Context(), arrived.Add(timeout-responseTime))
-		defer cancel()
-		msg.disconnected = disconnectCheck(r, cancel)
-		var a finalResponse
-		if a, err = c.loop.Serve(ctx, req, msg); err == nil {
+		var final finalResponse
+		if final, err = c.decide(r, parsed, arrived); err == nil {
 			c.closeAfterResponse(w)
-			c.writeResponse(w, a)
+			c.writeResponse(w, final)
 			return
 		}
 	}
 	c.closeAfterResponse(w)
+	c.writeError(w, r, parsed, err)
+}
+
+// decide passes a request that was read to the loop and waits for its final response. An error is one of the loop's, or
+// the context's: context.Canceled after the client has disconnected, context.DeadlineExceeded at the end of its time.
+func (c *Clients) decide(r *http.Request, parsed parsedRequest, arrived time.Time) (finalResponse, error) {
+	forGateway, responseTime := margins(parsed.timeout)
+	parsed.req.Patience = parsed.timeout - forGateway - time.Since(arrived)
+	ctx, cancel := context.WithDeadline(r.Context(), arrived.Add(parsed.timeout-responseTime))
+	defer cancel()
+	parsed.msg.disconnected = disconnectCheck(r, cancel)
+	return c.loop.Serve(ctx, parsed.req, parsed.msg)
+}
+
+// writeError answers a request that has no final response from the loop.
+func (c *Clients) writeError(w http.ResponseWriter, r *http.Request, parsed parsedRequest, err error) {
 	switch {
 	case errors.Is(err, context.Canceled):
 		// Most likely nobody is there to be told. But a client may have ended its sending only, and without a
@@ -191,7 +197,9 @@
 		w.Header().Set("Connection", "close")
 		w.WriteHeader(http.StatusBadGateway)
 	case errors.Is(err, context.DeadlineExceeded):
-		c.timeoutLog.Do(func() { slog.Warn("answered at the last moment", "class", req.Class, "timeout", timeout) })
+		c.timeoutLog.Do(func() {
+			slog.Warn("answered at the last moment", "class", parsed.req.Class, "timeout", parsed.timeout)
+		})
 		w.WriteHeader(http.StatusGatewayTimeout)
 	default:
 		c.badRequestLog.Do(func() { slog.Warn("bad request", "from", r.RemoteAddr, "err", err) })
@@ -246,136 +254,3 @@
 	forGateway = min(gatewayMargin, timeout/marginDivisor)
 	return forGateway, min(responseMargin, forGateway/2)
 }
-
-var errBodyTooLarge = errors.New("the body is over 64 KiB")
-
-func readBody(w http.ResponseWriter, r *http.Request, method string) ([]byte, error) {
-	if r.ContentLength > maxBody {
-		return nil, errBodyTooLarge
-	}
-	if method == http.MethodGet {
-		return nil, nil
-	}
-	control := http.NewResponseController(w)
-	if err := control.SetReadDeadline(time.Now().Add(bodyTimeout)); err != nil {
-		return nil, err
-	}
-	body := make([]byte, r.ContentLength)
-	if _, err := io.ReadFull(r.Body, body); err != nil {
-		return nil, err
-	}
-	// From here on the connection is read only to learn whether the client leaves.
-	return body, control.SetReadDeadline(time.Time{})
-}
-
-// parse reads all of a request but its body. What it lets through is safe to pass to the gateway.
-func (c *Clients) parse(r *http.Request) (req gateway.Request, msg *message, timeout time.Duration, err error) {
-	bad := func(what, value string) (gateway.Request, *message, time.Duration, error) {
-		return gateway.Request{}, nil, 0, fmt.Errorf("%s: %.40q", what, value)
-	}
-	// A Content-Length next to a Transfer-Encoding is dropped unseen by the server (in HTTP/1.0 the latter is), and
-	// whoever goes by the other one finds a second request in the body. Our clients tell lengths and send HTTP/1.1.
-	if len(r.TransferEncoding) > 0 || r.ContentLength < 0 || r.ProtoMajor != 1 || r.ProtoMinor != 1 {
-		return bad("framing", r.Proto+" "+strings.Join(r.TransferEncoding, ", "))
-	}
-	// A header that is there twice could be read in two ways, here and behind us.
-	h := map[string]string{}
-	for _, name := range []string{"Request-Id", "Request-Class", "X-Tier", "X-Api-Key", "Request-Timeout",
-		"X-Call-Terms", "Idempotency-Key"} {
-		switch v := r.Header[name]; len(v) {
-		case 0:
-		case 1:
-			h[name] = v[0]
-		default:
-			return bad(name, strings.Join(v, ", "))
-		}
-	}
-	id, err := parseHex(h["Request-Id"])
-	if err != nil {
-		return bad("Request-Id", h["Request-Id"])
-	}
-	class, ok := c.classes[h["Request-Class"]]
-	if !ok {
-		return bad("Request-Class", h["Request-Class"])
-	}
-	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != class.Name ||
-		!strings.HasPrefix(r.RequestURI, "/") {
-		return bad("path of another class", r.RequestURI)
-	}
-	method := http.MethodPost
-	if class.Effect == gateway.Safe {
-		method = http.MethodGet
-	}
-	if r.Method != method {
-		return bad("method", r.Method)
-	}
-	if method == http.MethodGet && r.ContentLength != 0 {
-		return bad("a GET with a body", r.RequestURI)
-	}
-	if class.Effect == gateway.Keyed && h["Idempotency-Key"] == "" {
-		return bad("Idempotency-Key", "")
-	}
-	if !c.plans[h["X-Tier"]] {
-		return bad("X-Tier", h["X-Tier"])
-	}
-	customer, err := parseHex(h["X-Api-Key"])
-	if err != nil || customer >= maxCustomer {
-		return bad("X-Api-Key", h["X-Api-Key"])
-	}
-	seconds, err := strconv.ParseFloat(h["Request-Timeout"], 64)
-	if err != nil || !(seconds > 0) || math.IsInf(seconds, 0) {
-		return bad("Request-Timeout", h["Request-Timeout"])
-	}
-	timeout = time.Duration(min(seconds, class.Deadline.Seconds()) * float64(time.Second))
-	req = gateway.Request{ID: gateway.RequestID(id), Customer: gateway.CustomerID(customer), Class: class.Name, Plan: h["X-Tier"]}
-	if err := c.parseTerms(h["X-Call-Terms"], &req); err != nil {
-		return bad("X-Call-Terms", h["X-Call-Terms"])
-	}
-	msg = &message{method: method, target: r.RequestURI, host: r.Host, header: http.Header{"User-Agent": {""}}}
-	for _, name := range []string{"Request-Id", "Idempotency-Key", "Content-Type"} {
-		if v, ok := r.Header[name]; ok {
-			msg.header[name] = v
-		}
-	}
-	return req, msg, timeout, nil
-}
-
-var errTerms = errors.New("terms that make no sense")
-
-// parseTerms reads "units=2,spread=3,first=1"; each must be there once, and in range.
-func (c *Clients) parseTerms(text string, req *gateway.Request) error {
-	var units, spread, first bool
-	for field := range strings.SplitSeq(text, ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
-		var err error
-		var again bool
-		switch name {
-		case "units":
-			again, units = units, true
-			req.Units, err = strconv.ParseFloat(value, 64)
-		case "spread":
-			again, spread = spread, true
-			req.Spread, err = strconv.Atoi(value)
-		case "first":
-			again, first = first, true
-			req.FirstDoor, err = strconv.Atoi(value)
-		}
-		if err != nil || again {
-			return errTerms
-		}
-	}
-	s := c.settings
-	if !units || !spread || !first || !(req.Units > 0) || math.IsInf(req.Units, 0) ||
-		s.LargestUnits > 0 && req.Units > s.LargestUnits ||
-		req.Spread < 1 || req.Spread > s.FrontDoors || req.FirstDoor < 0 || req.FirstDoor >= s.FrontDoors {
-		return errTerms
-	}
-	return nil
-}
-
-func parseHex(s string) (uint64, error) {
-	if len(s) != 16 {
-		return 0, strconv.ErrSyntax
-	}
-	return strconv.ParseUint(s, 16, 64)
-}
--- a/internal/frontdoor/fuzz_test.go
+++ b/internal/frontdoor/fuzz_test.go
@@ -56,7 +56,8 @@
 		if err != nil {
 			return
 		}
-		req, msg, timeout, err := clients.parse(r)
+		parsed, err := clients.parse(r)
+		req, msg, timeout := parsed.req, parsed.msg, parsed.timeout
 		if err == nil && (timeout <= 0 || req.Customer >= maxCustomer || msg.header.Get("Request-Id") == "") {
 			t.Errorf("%q was taken as %+v %+v, timeout %v", text, req, msg, timeout)
 		}
--- /dev/null
+++ b/internal/frontdoor/responses.go
@@ -0,0 +1,108 @@
+package frontdoor
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"herontiller/internal/gateway"
+)
+
+var (
+	errConnClosed     = errors.New("the connection ended before an answer")
+	errNoLength       = errors.New("the answer does not tell its length")
+	errProtocolSwitch = errors.New("the answer switches protocols")
+)
+
+// read takes in a whole answer, and tells whether the backend leaves the connection open. An error means that
+// there was no answer that can be used.
+func (b *Backends) read(ctx context.Context, c *pooledConn, m *message, r *reply) (keep bool, err error) {
+	c.limit.remaining = maxResponseHead
+	if _, err := c.r.Peek(1); err != nil {
+		return false, fmt.Errorf("%w: %w", errConnClosed, err)
+	}
+	// The context's end may have set a deadline already, which this must not undo.
+	c.SetReadDeadline(time.Now().Add(responseTimeout))
+	if err := ctx.Err(); err != nil {
+		return false, err
+	}
+	res, err := http.ReadResponse(c.r, &http.Request{Method: m.method})
+	for err == nil && res.StatusCode < 200 && res.StatusCode != http.StatusSwitchingProtocols {
+		res, err = http.ReadResponse(c.r, &http.Request{Method: m.method})
+	}
+	if err != nil {
+		return false, err
+	}
+	body, err := readResponseBody(c, res)
+	if err != nil {
+		return false, err
+	}
+	switch {
+	case res.StatusCode == http.StatusOK:
+		r.result, r.body, r.contentType = gateway.Answered, body, res.Header["Content-Type"]
+	case (res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusGatewayTimeout) &&
+		res.Header.Get("Not-Started") == "1":
+		r.result = gateway.Refused
+	default:
+		r.result = gateway.AnsweredErr // it may have run
+	}
+	if v, err := strconv.ParseFloat(res.Header.Get("X-RateLimit-Used"), 64); err == nil && v >= 0 && v <= maxUsagePercent {
+		r.hasUsage, r.usage = true, v
+	}
+	r.load = b.parseLoad(res.Header.Get("Server-Load"))
+	return !res.Close, nil
+}
+
+// readResponseBody reads an answer's body. One that only the connection's end would end can't be told from a cut one.
+func readResponseBody(c *pooledConn, res *http.Response) ([]byte, error) {
+	c.limit.remaining = 2 * maxBody // chunks take more room than what is in them
+	switch {
+	case res.StatusCode == http.StatusSwitchingProtocols:
+		return nil, errProtocolSwitch
+	case res.ContentLength > maxBody:
+		return nil, errTooLarge
+	case res.ContentLength >= 0:
+		body := make([]byte, res.ContentLength)
+		_, err := io.ReadFull(res.Body, body)
+		return body, err
+	case len(res.TransferEncoding) == 0:
+		return nil, errNoLength
+	}
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxBody+1))
+	if err == nil && len(body) > maxBody {
+		err = errTooLarge
+	}
+	return body, err
+}
+
+// parseLoad reads a load report such as "queue=2,qps=31"; nil if it does not hold all that the settings name.
+func (b *Backends) parseLoad(text string) []float64 {
+	if text == "" || len(b.loadColumns) == 0 {
+		return nil
+	}
+	load := make([]float64, len(b.loadColumns))
+	found := 0
+	for field := range strings.SplitSeq(text, ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
+		for i, column := range b.loadColumns {
+			if name == column {
+				v, err := strconv.ParseFloat(value, 64)
+				if err != nil || !(v >= 0) || math.IsInf(v, 0) {
+					return nil
+				}
+				load[i] = v
+				found++
+			}
+		}
+	}
+	if found != len(load) {
+		return nil
+	}
+	return load
+}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -34,6 +34,8 @@
 	Settings gateway.Settings
 }
 
+// rawMessage is a line as it stands on the wire: the union of the fields of all kinds of messages, under the names of
+// package gateway. Times are in microseconds.
 type rawMessage struct {
 	Kind          string          `json:"m"`
 	AtUS          *int64          `json:"at_time_us"`
@@ -52,7 +54,7 @@
 	Customer      uint64          `json:"caller"`
 	Took          int64           `json:"duration_us"`
 	Attempt       int             `json:"try"`
-	UsePlusOne    int64           `json:"seen_use"`
+	UsePlusOne    int64           `json:"seen_use"` // percent and 1; 0: not known
 	Backend       *uint32         `json:"backend"`
 	Result        string          `json:"rc"`
 	Final         bool            `json:"last"`
@@ -61,6 +63,7 @@
 	TimerToken    *uint64         `json:"ref"`
 }
 
+// listEntry is a backend in a list.
 type listEntry struct {
 	Power   float64 `json:"power_hint"`
 	Health  string  `json:"health"`
@@ -71,62 +74,7 @@
 	Backend *uint32 `json:"backend"`
 }
 
-type settingsJSON struct {
-	Balancers int    `json:"balancers"`
-	Me        int    `json:"me"`
-	Zone      string `json:"zone"`
-	Discovery string `json:"discovery"`
-	Lanes     []struct {
-		Name      string  `json:"name"`
-		Effect    string  `json:"effect"`
-		Group     string  `json:"group"`
-		KeyTTL    int64   `json:"key_ttl_us"`
-		Aim       int64   `json:"goal_time_us"`
-		Deadline  int64   `json:"deadline_us"`
-		Gain      float64 `json:"gain"`
-		LateValue float64 `json:"late_value"`
-		Stream    bool    `json:"stream"`
-	} `json:"lanes"`
-	Tariffs []struct {
-		Name      string  `json:"name"`
-		Rate      float64 `json:"units_per_s"`
-		Burst     float64 `json:"burst"`
-		Parallel  int     `json:"parallel"`
-		Value     float64 `json:"value_factor"`
-		OverWorth float64 `json:"excess_worth"`
-		OverCost  float64 `json:"excess_cost"`
-		CeilRate  float64 `json:"ceiling_rate"`
-		CeilDepth float64 `json:"never_over_depth"`
-		CeilSlack float64 `json:"cap_slack"`
-	} `json:"tariffs"`
-	Family struct {
-		Meter   int64   `json:"meter_period_us"`
-		Largest float64 `json:"largest"`
-	} `json:"family_info"`
-	Limits struct {
-		Cancel     bool  `json:"cancel"`
-		Probes     bool  `json:"probes"`
-		Attempts   int   `json:"max_attempts"`
-		Parallel   bool  `json:"parallel_tries"`
-		RetryAfter bool  `json:"retry_after"`
-		MaxAfter   int64 `json:"max_retry_after_us"`
-		ConnIdle   int64 `json:"conn_idle_us"`
-		Connect    int64 `json:"connect_timeout_us"`
-	} `json:"policy_limits"`
-	Duties struct {
-		Grace    int64   `json:"grace_to_answer_us"`
-		Drain    int64   `json:"stop_sending_within_us"`
-		ColdFrom float64 `json:"cold_from"`
-		Warm     int64   `json:"warm_within_us"`
-		Multiple float64 `json:"fall_multiple"`
-		Fall     int64   `json:"fall_us"`
-		MustAsk  int64   `json:"must_ask_in_us"`
-	} `json:"obligations"`
-	Stats struct {
-		Columns []string `json:"columns"`
-		How     string   `json:"how"`
-	} `json:"stats"`
-}
+// The wire's words for the constants of package gateway.
 
 var results = map[string]gateway.Result{
 	"delivered": gateway.Answered, "app_error": gateway.AnsweredErr, "shed": gateway.Refused, "expired": gateway.TimedOut,
@@ -139,10 +87,7 @@
 	"INCREMENTAL": gateway.ListChanges, "FULL": gateway.ListFull, "SAVED": gateway.ListSaved, "FAILED": gateway.ListFailed,
 }
 
-var effects = map[string]gateway.Effect{"": gateway.Safe, "retryable": gateway.Safe, "dedup": gateway.Keyed, "fragile": gateway.Unsafe}
-
-var groups = map[string]gateway.Group{"": gateway.GroupAll, "all": gateway.GroupAll, "zone": gateway.GroupZone, "cell": gateway.GroupCell}
-
+// micros is a time of the wire, in microseconds; what does not fit is cut to what does.
 func micros(v int64) time.Duration {
 	if v > math.MaxInt64/1000 {
 		v = math.MaxInt64 / 1000
@@ -160,6 +105,7 @@
 	if err := json.Unmarshal(text, &l); err != nil {
 		return m, fmt.Errorf("not a message: %w", err)
 	}
+	var err error
 	switch l.Kind {
 	case "":
 		return m, errors.New("a message without a name")
@@ -177,41 +123,52 @@
 		return m, fmt.Errorf("%s without an instance", l.Kind)
 	}
 	m.Instance = *l.Instance
-	var err error
 	switch l.Kind {
 	case "boot":
 		m.Start, err = decodeStart(l)
 	case "detach":
 		m.Stop = true
+	default:
+		m.Event, err = decodeEvent(l)
+	}
+	return m, err
+}
+
+// decodeEvent reads an event of an instance; nil for a kind that it does not know.
+func decodeEvent(l rawMessage) (gateway.Event, error) {
+	switch l.Kind {
 	case "targets":
-		m.Event, err = decodeList(l)
+		return decodeList(l)
 	case "call":
-		m.Event, err = decodeRequest(l)
+		return decodeRequest(l)
 	case "closed_attempt":
-		m.Event, err = decodeOutcome(l)
+		return decodeOutcome(l)
 	case "established":
-		var id gateway.RequestID
-		id, err = requestID(l)
-		m.Event = gateway.AnswerStarted{Request: id, Attempt: l.Attempt}
+		id, err := requestID(l)
+		return gateway.AnswerStarted{Request: id, Attempt: l.Attempt}, err
 	case "client_left":
-		var id gateway.RequestID
-		id, err = requestID(l)
-		m.Event = gateway.ClientGone{Request: id}
+		id, err := requestID(l)
+		return gateway.ClientGone{Request: id}, err
 	case "sampled":
-		if l.Backend == nil {
-			return m, errors.New("sampled without a backend")
-		}
-		m.Event = gateway.ProbeResult{Backend: gateway.BackendID(*l.Backend), Result: result(l.Result), Took: micros(l.Took),
-			Load: l.Load}
+		return decodeProbeResult(l)
 	case "reminder":
 		if l.TimerToken == nil {
-			return m, errors.New("reminder without a ref")
+			return nil, errors.New("reminder without a ref")
 		}
-		m.Event = gateway.Timer{Token: *l.TimerToken}
+		return gateway.Timer{Token: *l.TimerToken}, nil
 	}
-	return m, err
+	return nil, nil
 }
 
+func decodeProbeResult(l rawMessage) (gateway.Event, error) {
+	if l.Backend == nil {
+		return nil, errors.New("sampled without a backend")
+	}
+	return gateway.ProbeResult{Backend: gateway.BackendID(*l.Backend), Result: result(l.Result), Took: micros(l.Took),
+		Load: l.Load}, nil
+}
+
+// result is the attempt result of a code; Unknown for one that is not known.
 func result(code string) gateway.Result {
 	if r, ok := results[code]; ok {
 		return r
@@ -219,6 +176,7 @@
 	return gateway.Unknown
 }
 
+// requestID reads a request id: 16 lower-case hexadecimal digits.
 func requestID(l rawMessage) (gateway.RequestID, error) {
 	if l.Request == nil || len(*l.Request) != 16 {
 		return 0, fmt.Errorf("%s without a request id of 16 hex digits", l.Kind)
@@ -279,52 +237,6 @@
 	return &Start{Seed: l.Seed, Settings: s}, nil
 }
 
-// Connections are the settings on connections to backends and to discovery. Only a front door on real sockets needs
-// them.
-type Connections struct {
-	Idle    time.Duration // a backend closes one that was idle for this long
-	Connect time.Duration // one that is not up by then counts as failed
-	// MustAsk: where the list must be asked for, what was listed this long ago counts as told to a front door that has
-	// not asked since; 0: not so
-	StaleAfter time.Duration
-}
-
-// DecodeSettings reads the settings of an instance. They have the same form on the wire and in the
-// configuration of a real front door.
-func DecodeSettings(text []byte) (gateway.Settings, Connections, error) {
-	var p settingsJSON
-	if err := json.Unmarshal(text, &p); err != nil {
-		return gateway.Settings{}, Connections{}, fmt.Errorf("settings: %w", err)
-	}
-	s := gateway.Settings{FrontDoors: p.Balancers, Me: p.Me, Zone: p.Zone, MeterPeriod: micros(p.Family.Meter),
-		LargestUnits: p.Family.Largest, MaxAttempts: p.Limits.Attempts, ParallelTries: p.Limits.Parallel,
-		CanCancel: p.Limits.Cancel, CanProbe: p.Limits.Probes, AskForList: p.Discovery == "on_request",
-		LoadColumns: p.Stats.Columns, LoadInAnswers: p.Stats.How == "answers", AnswerGrace: micros(p.Duties.Grace),
-		DrainGrace: micros(p.Duties.Drain), ColdFrom: p.Duties.ColdFrom, WarmWithin: micros(p.Duties.Warm),
-		FallMultiple: p.Duties.Multiple, FallFor: micros(p.Duties.Fall)}
-	if p.Limits.RetryAfter {
-		s.MaxRetryAfter = micros(p.Limits.MaxAfter)
-	}
-	for _, c := range p.Lanes {
-		effect, ok := effects[c.Effect]
-		group, ok2 := groups[c.Group]
-		if !ok || !ok2 {
-			return gateway.Settings{}, Connections{}, fmt.Errorf("class %q has the effect %q and the group %q",
-				c.Name, c.Effect, c.Group)
-		}
-		s.Classes = append(s.Classes, gateway.Class{Name: c.Name, Effect: effect, Group: group,
-			KeyWindow: micros(c.KeyTTL), Aim: micros(c.Aim), Deadline: micros(c.Deadline), Worth: c.Gain,
-			LateWorth: c.LateValue, Stream: c.Stream})
-	}
-	for _, t := range p.Tariffs {
-		s.Plans = append(s.Plans, gateway.Plan{Name: t.Name, Rate: t.Rate, Burst: t.Burst, Open: t.Parallel,
-			Price: t.Value, OverWorth: t.OverWorth, OverCost: t.OverCost, CeilingRate: t.CeilRate,
-			CeilingBurst: t.CeilDepth, CeilingSlack: t.CeilSlack})
-	}
-	return s, Connections{Idle: micros(p.Limits.ConnIdle), Connect: micros(p.Limits.Connect),
-		StaleAfter: micros(p.Duties.MustAsk)}, nil
-}
-
 // AppendAction writes one action of an instance as a line.
 func AppendAction(b *bytes.Buffer, instance int, a gateway.Action) {
 	switch a := a.(type) {
