--- a/cmd/herontiller/limits_test.go
+++ b/cmd/herontiller/limits_test.go
@@ -21,11 +21,11 @@
 // patient is how long a test waits for something that must happen: it fails then, and only then.
 const patient = 20 * time.Second
 
-// program starts the program with a configuration, and with so many descriptors, and tells where it serves.
+// program starts the program with a configuration, and with so many descriptors, and returns its address.
 func program(t *testing.T, text string, descriptors int) (cmd *exec.Cmd, addr string) {
 	t.Helper()
 	cmd = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %q", descriptors, os.Args[0]))
-	cmd.Env = append(os.Environ(), "PUMICECROFT_AS_PROGRAM=1", "NODE_CONFIG="+write(t, text))
+	cmd.Env = append(os.Environ(), "HERONTILLER_AS_PROGRAM=1", "NODE_CONFIG="+write(t, text))
 	log, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -68,8 +68,8 @@
 	return ln.Addr().String()
 }
 
-// A door that starts with the longest lists of the pages, 1,024 doors and 1,024 backends, indented, and with discovery
-// down, is ready within the 10 s of the operators.
+// An instance that starts with the longest lists of the pages, 1,024 instances and 1,024 backends, indented, and with
+// discovery down, is ready within the 10 s of the operators.
 func TestReadyWithLongListsAndNoDiscovery(t *testing.T) {
 	var file map[string]any
 	if err := json.Unmarshal([]byte(fmt.Sprintf(config, "127.0.0.1:0", silentAddr(t))), &file); err != nil {
--- a/cmd/herontiller/main.go
+++ b/cmd/herontiller/main.go
@@ -1,5 +1,5 @@
-// Command herontiller is one real front door. It is configured by the file that NODE_CONFIG names and serves
-// until SIGTERM. SIGHUP makes it read the file again and follow the discovery that it names then.
+// Command herontiller is one gateway instance on real sockets. It is configured by the file that NODE_CONFIG names and
+// serves until SIGTERM. SIGHUP makes it read the file again and watch the discovery that it names then.
 package main
 
 import (
@@ -20,7 +20,7 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	hup := make(chan os.Signal, 1) // one that waits stands for all that came since: the file is read after it
+	hup := make(chan os.Signal, 1) // one pending signal suffices: the file is read after it
 	signal.Notify(hup, syscall.SIGHUP)
 	if err := run(ctx, os.Getenv("NODE_CONFIG"), hup); err != nil {
 		fmt.Fprintln(os.Stderr, "herontiller:", err)
@@ -34,7 +34,7 @@
 		return err
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(config.Limits.Cores))))
-	debug.SetMemoryLimit(config.Limits.MemoryMB << 20 / 4 * 3) // the rest is for stacks, sockets and the program
+	debug.SetMemoryLimit(config.Limits.MemoryMB << 20 / 4 * 3) // the last quarter is for stacks, sockets and the program
 	backends := frontdoor.NewBackends(config)
 	loop, err := frontdoor.NewLoop(config, backends)
 	if err != nil {
@@ -55,8 +55,8 @@
 	return err
 }
 
-// reload reads the file again at each SIGHUP and tells where discovery is now. A file that is no good changes
-// nothing. The counter is not used, and what else the file holds is for the next start.
+// reload reads the file again at each SIGHUP and passes on the address of discovery. An invalid file changes nothing.
+// All else in the file takes effect at the next start only.
 func reload(ctx context.Context, path string, hup <-chan os.Signal, moves chan<- string) {
 	for {
 		select {
@@ -69,7 +69,7 @@
 			slog.Warn("the new configuration is no good, the old one stays", "err", err)
 			continue
 		}
-		slog.Info("configured anew", "discovery", config.Discovery)
+		slog.Info("configuration reloaded", "discovery", config.Discovery)
 		select {
 		case moves <- config.Discovery:
 		case <-ctx.Done():
--- a/cmd/herontiller/main_test.go
+++ b/cmd/herontiller/main_test.go
@@ -58,7 +58,7 @@
 
 // TestMain lets the test's own binary stand in for the program, where a test needs it as a process of its own.
 func TestMain(m *testing.M) {
-	if os.Getenv("PUMICECROFT_AS_PROGRAM") != "" {
+	if os.Getenv("HERONTILLER_AS_PROGRAM") != "" {
 		main()
 		return
 	}
@@ -102,7 +102,7 @@
 	now, askedNow := discovery()
 	path := write(t, fmt.Sprintf(config, "127.0.0.1:0", old))
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "PUMICECROFT_AS_PROGRAM=1", "NODE_CONFIG="+path)
+	cmd.Env = append(os.Environ(), "HERONTILLER_AS_PROGRAM=1", "NODE_CONFIG="+path)
 	log, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/frontdoor/attempts_test.go
+++ b/internal/frontdoor/attempts_test.go
@@ -13,7 +13,7 @@
 
 // The tests of this file make an attempt cross with the end of its request, every time.
 
-// gatedDials lets the test hold connections while they come up. Each is told of on dialing.
+// gatedDials lets the test hold connections while they come up. Each is announced on dialing.
 func gatedDials(b *Backends) (dialing chan bool, goOn chan bool) {
 	dialing, goOn = make(chan bool, 1), make(chan bool)
 	dial := b.pool.dial
@@ -25,9 +25,10 @@
 	return dialing, goOn
 }
 
-// A request whose client leaves while its connection to the backend comes up is not sent on, also where the settings
-// allow no cancel, as nothing has been sent that could be cancelled. Neither is one that has its final answer.
-func TestNothingIsSentOnOnceItsClientHasLeft(t *testing.T) {
+// A request whose client disconnects while its connection to the backend comes up is not sent on, also where the
+// settings allow no cancel, as nothing has been sent that could be cancelled. Neither is one that has its final
+// answer.
+func TestNothingIsSentOnceItsClientHasDisconnected(t *testing.T) {
 	for how, leave := range leaving {
 		t.Run(how, func(t *testing.T) {
 			got := make(chan int, 1)
@@ -50,8 +51,8 @@
 	}
 }
 
-// deafListener is a listener whose connections never tell the server's watch that the client has left, as if the process did
-// not come to it: a watch reads into a buffer of its own size.
+// deafListener is a listener whose connections never notify the server's watch that the client has disconnected, as if
+// the process did not come to it: a watch reads into a buffer of its own size.
 type deafListener struct {
 	*net.TCPListener
 	conns chan net.Conn
@@ -79,9 +80,10 @@
 	return c.TCPConn.Read(p)
 }
 
-// An attempt, first or further, does not begin after its client has left, also while nobody has told the loop of that:
-// for a request that is held, that dials, or whose last attempt has just failed, and also where nothing may be cancelled.
-func TestNoAttemptBeginsBeforeTheLeavingIsHeard(t *testing.T) {
+// An attempt, first or further, does not begin after its client has disconnected, also while the loop has not been
+// notified of that: for a request that is held, that dials, or whose last attempt has just failed, and also where
+// nothing may be cancelled.
+func TestNoAttemptBeginsAfterADisconnection(t *testing.T) {
 	for how, leave := range leaving {
 		for _, when := range []string{"held", "dialling", "between attempts"} {
 			t.Run(how+" "+when, func(t *testing.T) {
@@ -196,8 +198,8 @@
 	}
 }
 
-// A write that blocks ends with its attempt, and the connection is closed before the attempt's outcome is told: what
-// the gateway sends next can't meet it.
+// A write that blocks ends with its attempt, and the connection is closed before the attempt's outcome is reported:
+// what the gateway sends next can't meet it.
 func TestABlockedWriteEndsWithItsAttempt(t *testing.T) {
 	ln := listen(t)
 	far := make(chan net.Conn, 1)
--- a/internal/frontdoor/backends.go
+++ b/internal/frontdoor/backends.go
@@ -21,33 +21,33 @@
 )
 
 const (
-	maxBody      = 64 << 10 // the protocol's most for a body
+	maxBody      = 64 << 10 // bytes, the protocol's limit
 	probeTimeout = time.Second
-	// A kept connection is dropped when it has been idle for this share of the time after which the backend
-	// may close it: a request that crosses the close may have run.
+	// A pooled connection is closed after this fraction of the idle time at which the backend may close it: a request
+	// that crosses the backend's close may have run.
 	idleFraction = 0.6
-	// An answer that has begun and does not end within answerTime is a spoilt one: backends write theirs at once.
+	// A response that has begun and is not complete within responseTimeout is malformed: backends write theirs at once.
 	responseTimeout = 500 * time.Millisecond
-	maxResponseHead = 16 << 10 // of an answer, 1xx answers ahead of it among it
-	maxUsagePercent = 10_000   // percent; a figure over it is no customer's use
+	maxResponseHead = 16 << 10 // bytes of a response, preceding 1xx responses included
+	maxUsagePercent = 10_000   // percent of the quota; a higher figure is invalid
 )
 
-// message is a client's request as it goes on to a backend, with each attempt.
+// message is a client's request as each attempt sends it to a backend.
 type message struct {
 	method       string
-	target       string // path and query as they came
+	target       string // path and query as received
 	host         string
 	header       http.Header
 	body         []byte
-	disconnected func() bool // tells whether its client has left, and ends the request if so; nil: nobody can leave
+	disconnected func() bool // reports whether the client has disconnected, and then ends the request; nil: no client
 }
 
-// cancelled tells whether a request must not go on any more.
+// cancelled reports whether an attempt must not be sent any more.
 func (m *message) cancelled(unsent context.Context) bool {
 	return unsent.Err() != nil || m.disconnected != nil && m.disconnected()
 }
 
-// reply is how an attempt ended and, if it was answered, with what.
+// reply is how an attempt ended and, if there was a response, what it held.
 type reply struct {
 	result      gateway.Result
 	contentType []string
@@ -65,24 +65,24 @@
 	endpoint  *endpointPool
 }
 
-// Backends sends attempts to the backends that discovery has named, over kept connections.
+// Backends sends attempts to the backends that discovery has listed, over pooled connections.
 type Backends struct {
 	pool        *pool
 	loadColumns []string // names of load figures as in the header, in the order of the settings
-	loadReports bool     // there are load reports, so probes ask for one
+	loadReports bool     // the settings name load figures, so probes request them
 	failureLog  rate.Sometimes
 
 	mu     sync.Mutex
 	lastID gateway.BackendID
-	byHost map[string]*backend // until it is gone
+	byHost map[string]*backend // without those that are gone
 	byID   map[gateway.BackendID]*backend
 }
 
-// columnNames are the header's names for the settings' load figures.
+// columnNames maps the settings' names of load figures to the header's.
 var columnNames = map[string]string{"concurrent": "inflight", "depth": "queue", "load_share": "util",
 	"mean_ms": "latency_ms", "tps": "qps", "err_ps": "eps"}
 
-// NewBackends knows no backends yet.
+// NewBackends returns one that knows no backends yet.
 func NewBackends(c Config) *Backends {
 	dialer := &net.Dialer{Timeout: c.Conns.Connect, KeepAlive: -1}
 	b := &Backends{loadReports: len(c.Settings.LoadColumns) > 0,
@@ -98,7 +98,7 @@
 	return b
 }
 
-// update applies news to the list and gives it in the gateway's form.
+// update applies a list, or changes to it, and returns it in the gateway's form.
 func (b *Backends) update(list EndpointList, c clock) []gateway.BackendInfo {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -112,7 +112,7 @@
 		be := b.byHost[e.Host]
 		if be == nil {
 			if states[e.Health] == gateway.Gone {
-				continue // never named, or forgotten
+				continue // never listed, or removed
 			}
 			b.lastID++
 			be = &backend{id: b.lastID}
@@ -120,7 +120,7 @@
 		}
 		if be.endpoint == nil || be.endpoint.addr != e.Dial && e.Dial != "" || be.startedMS != e.BornMS {
 			if be.endpoint != nil {
-				b.pool.closeEndpoint(be.endpoint) // its connections lead to what was there before
+				b.pool.closeEndpoint(be.endpoint) // its connections lead to the former process
 			}
 			be.endpoint = &endpointPool{addr: e.Dial}
 		}
@@ -134,13 +134,13 @@
 		}
 		return infos
 	}
-	for _, e := range list.Hosts { // changes must not cost a look at all backends
+	for _, e := range list.Hosts { // a change must not cost time for all backends
 		b.forgetGone(e.Host, b.byHost[e.Host])
 	}
 	return infos
 }
 
-// forgetGone forgets a backend that is gone. If it comes back it is a new one, to the gateway as well.
+// forgetGone removes a backend that is gone. If it is listed again, it is a new one, for the gateway as well.
 func (b *Backends) forgetGone(host string, be *backend) {
 	if be != nil && be.state == gateway.Gone {
 		b.pool.closeEndpoint(be.endpoint)
@@ -149,7 +149,7 @@
 	}
 }
 
-// readyEndpoint gives the place of a backend that may be sent something now, else nil.
+// readyEndpoint returns the endpoint pool of a backend that may be sent attempts now, else nil.
 func (b *Backends) readyEndpoint(id gateway.BackendID) *endpointPool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -159,11 +159,11 @@
 	return nil
 }
 
-// errAttemptObsolete ends an attempt that is no longer wanted where its connection leads.
+// errAttemptObsolete ends an attempt whose client has disconnected or whose backend must be sent nothing new.
 var errAttemptObsolete = errors.New("the backend may be sent nothing new")
 
-// send makes one attempt and tells how it ended. It never sends twice. unsent is of ctx, and may end before it: then
-// what has not been written whole by then is not sent any more.
+// send makes one attempt and returns how it ended. It never sends a request twice. unsent is a child of ctx and may end
+// first: a request that is not written whole by then is not sent.
 func (b *Backends) send(ctx, unsent context.Context, id gateway.BackendID, m *message) *reply {
 	r := &reply{result: gateway.NotSent}
 	endpoint := b.readyEndpoint(id)
@@ -220,11 +220,11 @@
 }
 
 func (b *Backends) logFailure(endpoint *endpointPool, err error) {
-	b.failureLog.Do(func() { slog.Warn("an attempt broke", "backend", endpoint.addr, "err", err) })
+	b.failureLog.Do(func() { slog.Warn("an attempt failed", "backend", endpoint.addr, "err", err) })
 }
 
-// write sends a request whole, unless unsent ends before. An error means that its last byte was not written, so it has
-// never run. A kept connection that turns out to be dead before then is made up for by a new one.
+// write sends a whole request, unless unsent ends first. An error means that its last byte was not written, so that it
+// has not run. A pooled connection that proves dead before then is replaced by a new one.
 func (b *Backends) write(ctx, unsent context.Context, id gateway.BackendID, endpoint *endpointPool,
 	m *message) (*pooledConn, error) {
 	for fresh := false; ; fresh = true {
@@ -232,14 +232,14 @@
 		if err != nil {
 			return nil, err
 		}
-		// A connection may have taken long to come up, and whoever tells that the client has left may be late.
+		// Connecting may have taken long, and the notification that the client has disconnected may be late.
 		if b.readyEndpoint(id) != endpoint || m.cancelled(unsent) {
 			b.pool.close(c)
 			return nil, errAttemptObsolete
 		}
 		text, err := m.encode(ctx)
 		if err == nil {
-			c.SetReadDeadline(time.Time{}) // from here on the context's end alone ends the wait
+			c.SetReadDeadline(time.Time{}) // from here on only the end of ctx ends the wait
 			err = c.writeAll(unsent, text)
 		}
 		if err == nil {
@@ -252,10 +252,10 @@
 	}
 }
 
-// writeSlice is how long a write that the other side does not take goes on until it looks whether it is still wanted.
+// writeSlice is how long a blocked write goes on between two checks whether its attempt has been cancelled.
 const writeSlice = 50 * time.Millisecond
 
-// writeAll writes a text whole, unless unsent ends before.
+// writeAll writes all of text, unless unsent ends first.
 func (c *pooledConn) writeAll(unsent context.Context, text []byte) error {
 	for len(text) > 0 {
 		c.SetWriteDeadline(time.Now().Add(writeSlice))
@@ -271,7 +271,7 @@
 	return nil
 }
 
-// encode gives one attempt's request as it stands on the wire.
+// encode returns one attempt's request in its HTTP/1.1 form, with the time left until the deadline of ctx.
 func (m *message) encode(ctx context.Context) ([]byte, error) {
 	header := m.header.Clone()
 	if due, ok := ctx.Deadline(); ok {
@@ -288,7 +288,7 @@
 	return text.Bytes(), err
 }
 
-// probe asks a backend for its health, with its load if there are reports.
+// probe requests a backend's health, and its load figures if the settings name any.
 func (b *Backends) probe(id gateway.BackendID) gateway.ProbeResult {
 	out := gateway.ProbeResult{Backend: id}
 	m := &message{method: http.MethodGet, target: "/health", header: http.Header{}}
--- a/internal/frontdoor/backends_failure_test.go
+++ b/internal/frontdoor/backends_failure_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// One spoilt answer closes its own connection only: the others are as good as before.
-func TestASpoiltAnswerLeavesTheOthers(t *testing.T) {
+// One malformed response closes its own connection only: the others are as good as before.
+func TestAMalformedResponseSparesOtherConnections(t *testing.T) {
 	goOn, both := make(chan bool), make(chan bool, 2)
 	addr := raw(t, func(n int, conn net.Conn) {
 		if n <= 2 {
@@ -211,7 +211,7 @@
 	}
 }
 
-// Answers that tell a customer's use out of order tell one period more than once. A customer that stays within its
+// Answers that report a customer's use out of order report one period more than once. A customer that stays within its
 // quota, by its own count and by every reading, must not be refused for that.
 func TestReadingsOutOfOrderRefuseNobody(t *testing.T) {
 	t.Parallel()
--- a/internal/frontdoor/backends_test.go
+++ b/internal/frontdoor/backends_test.go
@@ -29,7 +29,7 @@
 
 const okReply = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// A client library may send a GET, and a POST with an Idempotency-Key, again by itself when a kept connection
+// A client library may send a GET, and a POST with an Idempotency-Key, again by itself when a pooled connection
 // turns out dead. Such a copy is an attempt that the gateway knows nothing of.
 func TestNothingIsSentAgainOnADeadConnection(t *testing.T) {
 	for name, m := range map[string]*message{"GET": lookMessage, "keyed POST": payMessage} {
@@ -96,7 +96,7 @@
 			conn.(*net.TCPConn).SetLinger(0)
 			conn.Close()
 		}, gateway.Broken},
-		// A spoilt answer may have run, and says nothing bad of the backend: as Broken it would be held back and
+		// A malformed response may have run, and is no sign against the backend: as Broken it would be held back and
 		// taken for one that has restarted.
 		"body cut midway":     {text("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), gateway.Unknown},
 		"head cut midway":     {text("HTTP/1.1 20"), gateway.Unknown},
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestNoConnectionIsToldFromNoAnswer(t *testing.T) {
+func TestNoConnectionIsDistinguishedFromNoResponse(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -186,7 +186,7 @@
 		}
 		list := ready(addr)
 		id := b.update(list, clock{time.Now()})[0].ID
-		if warm { // the drain is told between two attempts
+		if warm { // the drain is received between two attempts
 			go func() { <-dialing; goOn <- true }()
 			b.send(t.Context(), t.Context(), id, lookMessage)
 			<-got
@@ -213,7 +213,7 @@
 
 // A backend may close a connection that was idle for the settings' time, and a request that crosses the close
 // is lost; so this side closes first. A new process or address takes no request on the old one's connections.
-func TestKeptConnections(t *testing.T) {
+func TestPooledConnections(t *testing.T) {
 	conns, closed := make(chan bool, 10), make(chan bool, 10)
 	s := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}),
 		ConnState: func(_ net.Conn, st http.ConnState) {
@@ -256,7 +256,7 @@
 	await(t, closed, "the idle connection to be closed")
 }
 
-// The attempts that are out hold sockets, of which a front door may have only so many.
+// The attempts that are out hold sockets, of which an instance may have only so many.
 func TestAttemptsAreBounded(t *testing.T) {
 	read := make(chan bool, 1)
 	addr := raw(t, func(int, net.Conn) { read <- true; <-t.Context().Done() })
@@ -282,7 +282,7 @@
 	}
 }
 
-// A dial that fails as this front door has no descriptor left says nothing of the backend.
+// A dial that fails as this instance has no descriptor left says nothing of the backend.
 func TestOwnShortageIsNotTheBackends(t *testing.T) {
 	b := NewBackends(config(t))
 	b.pool.dial = func(context.Context, string, string) (net.Conn, error) {
--- a/internal/frontdoor/bench_test.go
+++ b/internal/frontdoor/bench_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// BenchmarkRequest is a request's way through a front door and back, with the client's and the backend's work.
+// BenchmarkRequest is a request's way through an instance and back, with the client's and the backend's work.
 func BenchmarkRequest(b *testing.B) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }))
 	b.Cleanup(backend.Close)
@@ -17,8 +17,8 @@
 	client := &http.Transport{}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		for len(d.loop.gateway.(*scripted).heard) > 0 {
-			<-d.loop.gateway.(*scripted).heard
+		for len(d.loop.gateway.(*scripted).received) > 0 {
+			<-d.loop.gateway.(*scripted).received
 		}
 		res, err := client.RoundTrip(d.newRequest(b, "look", func(r *http.Request) { r.Header.Set("Request-Id", fmt.Sprintf("%016x", n)) }))
 		if err != nil {
--- a/internal/frontdoor/clients.go
+++ b/internal/frontdoor/clients.go
@@ -17,35 +17,33 @@
 )
 
 const (
-	// A client's time counts from when it sent the request, which is before we see it, and its answer must
-	// reach it before that time is up. So the gateway is told of less time by the first margin, and the last
-	// moment, at which a request without an answer is answered here, lies the second margin before the end. Of a short
-	// time they take a share only.
+	// A client's timeout runs from when it sent the request, before it is received here, and its response must arrive
+	// before the end. So the gateway is given gatewayMargin less, and a request still open responseMargin before the
+	// end is answered with 504 here. Of a short timeout both are a fraction only.
 	gatewayMargin  = 40 * time.Millisecond
 	responseMargin = 20 * time.Millisecond
-	marginDivisor  = 8 // of the client's time, the gateway's margin takes one part of so many at most
+	marginDivisor  = 8 // gatewayMargin is at most the timeout divided by this
 
-	// A client that sends no whole request within headTime and bodyTime of its beginning is not one of ours. A new
-	// connection's head counts from its accept.
+	// Time-outs of a request's head and body. On a new connection, headTimeout counts from its accept.
 	headTimeout = 1500 * time.Millisecond
 	bodyTimeout = time.Second
-	idleTimeout = 15 * time.Second // that a client may keep a connection without a request
+	idleTimeout = 15 * time.Second // how long a client may keep a connection without a request
 
-	// After SIGTERM new connections are taken for at least drainLeast, then until none has come for
-	// drainQuiet, and for no longer than drainMost. The platform kills us no sooner than drainMost after the
-	// longest deadline, or after killCounts if that is shorter.
+	// After SIGTERM new connections are accepted for at least drainMin, then until none has arrived for drainQuiet,
+	// and for no longer than drainMax. The platform kills the process no sooner than drainMax and then the longest
+	// deadline, or killGrace if that is shorter, have passed.
 	drainMin   = 500 * time.Millisecond
 	drainQuiet = 150 * time.Millisecond
 	drainMax   = 700 * time.Millisecond
 	killGrace  = 3 * time.Second
-	drainPoll  = 10 * time.Millisecond // between two looks at what is still open
+	drainPoll  = 10 * time.Millisecond // interval of the checks for open connections
 
-	// Where the list has to be asked for, a new process may send to nobody before it has one, and is not ready for clients.
-	// It is all the same after this time: a restarted one has to be within 6 s.
+	// Where the list must be requested, a new process may send to no backend before it has one, and is not ready for
+	// clients. After this time it is nevertheless: a restarted one must be ready within 6 s.
 	firstListTimeout = 5 * time.Second
 )
 
-// Clients is the side of the front door that clients see.
+// Clients serves the clients of an instance over HTTP.
 type Clients struct {
 	loop          *Loop
 	settings      gateway.Settings
@@ -60,7 +58,7 @@
 	timeoutLog    rate.Sometimes
 }
 
-// NewClients serves clients from a loop.
+// NewClients returns the clients' side for a loop.
 func NewClients(config Config, loop *Loop) *Clients {
 	settings := config.Settings
 	c := &Clients{loop: loop, settings: settings, started: time.Now(), conns: newConnTable(config.Limits.clientConns()),
@@ -77,14 +75,15 @@
 	return c
 }
 
-// Run serves clients on a listener until ctx ends, and then for as long as it takes to lose nothing: it goes
-// on accepting while clients still come, stops listening, and returns when it holds no request.
+// Run serves clients on a listener until ctx ends, and then until no request can be lost: it goes on accepting while
+// connections still arrive, stops listening, and returns when no request is open. It returns an error when the listener
+// fails.
 func (c *Clients) Run(ctx context.Context, listener net.Listener) error {
 	srv := &http.Server{
 		Handler:           c,
 		ReadHeaderTimeout: headTimeout,
-		// There is no ReadTimeout: it would also run while a request waits for its answer, and a read that times
-		// out then would look as if the client had gone. Bodies have a limit of their own.
+		// There is no ReadTimeout: it would also run while a request waits for its response, and a read that times
+		// out then would look as if the client had disconnected. Bodies have bodyTimeout.
 		WriteTimeout:   c.maxDeadline + 10*time.Second,
 		IdleTimeout:    idleTimeout,
 		MaxHeaderBytes: 16 << 10,
@@ -111,8 +110,8 @@
 	return c.drain(accepts, ended)
 }
 
-// drain ends what Run serves. The server's own Shutdown is not used: it resets connections that have not been accepted
-// yet, and closes idle ones whatever has come on them.
+// drain ends Run gracefully. The server's own Shutdown is not used: it resets connections that are still in the
+// backlog, and closes idle ones even if a request has arrived on them.
 func (c *Clients) drain(accepts *clientListener, ended <-chan error) error {
 	start := time.Now()
 	killed := start.Add(drainMax + min(c.maxDeadline, killGrace))
@@ -133,14 +132,14 @@
 	return nil
 }
 
-// closeAfterResponse tells the client, once this process is to end, that its connection ends with this answer.
+// closeAfterResponse makes a connection end with this response once the process drains.
 func (c *Clients) closeAfterResponse(w http.ResponseWriter) {
 	if c.killTime.Load() != nil {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// ready tells whether clients may come.
+// ready reports whether the instance is ready for clients.
 func (c *Clients) ready() bool {
 	if c.killTime.Load() != nil {
 		return false
@@ -148,7 +147,7 @@
 	return !c.settings.AskForList || c.loop.hasList.Load() || time.Since(c.started) >= firstListTimeout
 }
 
-// ServeHTTP takes one request and gives it its one final answer.
+// ServeHTTP serves one request, with exactly one final response.
 func (c *Clients) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	if r.URL.Path == "/ready" {
@@ -163,7 +162,7 @@
 		parsed.msg.body, err = readBody(w, r, parsed.msg.method)
 	}
 	if killTime := c.killTime.Load(); killTime != nil {
-		parsed.timeout = min(parsed.timeout, killTime.Sub(arrived)) // what comes late must have its answer by then as well
+		parsed.timeout = min(parsed.timeout, killTime.Sub(arrived)) // a late request must have its response by then as well
 	}
 	if err == nil {
 		var final finalResponse
@@ -192,13 +191,13 @@
 func (c *Clients) writeError(w http.ResponseWriter, r *http.Request, parsed parsedRequest, err error) {
 	switch {
 	case errors.Is(err, context.Canceled):
-		// Most likely nobody is there to be told. But a client may have ended its sending only, and without a
-		// word from here it would read an empty 200. What it sent behind is not served.
+		// Most likely the client is gone. But it may have closed only its sending side, and without a response
+		// it would read an empty 200. Requests that it sent behind this one are not served.
 		w.Header().Set("Connection", "close")
 		w.WriteHeader(http.StatusBadGateway)
 	case errors.Is(err, context.DeadlineExceeded):
 		c.timeoutLog.Do(func() {
-			slog.Warn("answered at the last moment", "class", parsed.req.Class, "timeout", parsed.timeout)
+			slog.Warn("timed out: no final response in time", "class", parsed.req.Class, "timeout", parsed.timeout)
 		})
 		w.WriteHeader(http.StatusGatewayTimeout)
 	default:
@@ -207,7 +206,7 @@
 		if errors.Is(err, errBodyTooLarge) {
 			status = http.StatusRequestEntityTooLarge
 		}
-		w.Header().Set("Connection", "close") // what else it sends is not waited for
+		w.Header().Set("Connection", "close") // the rest of its request is not read
 		http.Error(w, err.Error(), status)
 	}
 }
@@ -215,9 +214,9 @@
 // connKey is the key of a request's connection in its context.
 type connKey struct{}
 
-// disconnectCheck looks, without waiting for the server's own watch, whether the client of a request has left, and ends the
-// request by end if so. A door that is short of its core hears of a leaving late, the later the busier it is, and would
-// begin attempts meanwhile that nobody waits for.
+// disconnectCheck returns a check, independent of the server's own watch, whether the client of a request has
+// disconnected; if so, it also ends the request by end. An instance short of CPU notices a disconnection late, and
+// would meanwhile begin attempts whose responses nobody waits for. It returns nil where the connection is unknown.
 func disconnectCheck(r *http.Request, end func()) func() bool {
 	conn, ok := r.Context().Value(connKey{}).(net.Conn)
 	if !ok {
@@ -232,13 +231,14 @@
 	}
 }
 
+// writeResponse writes a final response.
 func (c *Clients) writeResponse(w http.ResponseWriter, a finalResponse) {
 	h := w.Header()
 	switch a.kind {
 	case served:
-		h["Content-Type"] = a.reply.contentType // nil: none is guessed
+		h["Content-Type"] = a.reply.contentType // nil: none is sent
 		h.Set("Content-Length", strconv.Itoa(len(a.reply.body)))
-		_, _ = w.Write(a.reply.body) // if it fails, the connection is closed: the client sees a cut answer
+		_, _ = w.Write(a.reply.body) // on an error the connection is closed: the client sees a truncated response
 	case rejected:
 		if a.retryAfter > 0 {
 			h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
@@ -249,7 +249,8 @@
 	}
 }
 
-// margins are how long before the end of a client's time the gateway's ends, and the last moment lies.
+// margins are how long before the end of a client's timeout the gateway's time ends, and a request still open is
+// answered with 504.
 func margins(timeout time.Duration) (forGateway, responseTime time.Duration) {
 	forGateway = min(gatewayMargin, timeout/marginDivisor)
 	return forGateway, min(responseMargin, forGateway/2)
--- a/internal/frontdoor/clients_test.go
+++ b/internal/frontdoor/clients_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// What cannot be read is a failure at once: the gateway and the backends hear nothing of it.
+// What cannot be read is a failure at once: the gateway and the backends are not notified.
 func TestBadRequests(t *testing.T) {
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
@@ -92,8 +92,8 @@
 		if res, _ := do(t, d.newRequest(t, c.class, c.change)); res.StatusCode != c.status {
 			t.Errorf("%s: %s, want %d", name, res.Status, c.status)
 		}
-		if len(g.heard) > 0 {
-			t.Errorf("%s: the gateway heard %+v", name, <-g.heard)
+		if len(g.received) > 0 {
+			t.Errorf("%s: the gateway heard %+v", name, <-g.received)
 		}
 		d.stop()
 	}
@@ -139,8 +139,8 @@
 	}
 }
 
-// A client that closes its connection is gone: the gateway hears of it, and the attempt it calls off is closed.
-func TestClientThatLeaves(t *testing.T) {
+// A client that closes its connection is gone: the gateway is notified, and the attempt it calls off is closed.
+func TestClientThatDisconnects(t *testing.T) {
 	read, closed := make(chan bool, 1), make(chan bool, 1)
 	addr := serve(t, func(_ http.ResponseWriter, r *http.Request) {
 		read <- true
@@ -223,7 +223,7 @@
 	}
 }
 
-// A body that is cut midway is no answer: the attempt has failed, and the client is told so.
+// A body that is cut midway is no answer: the attempt has failed, and the client is notified.
 func TestACutAnswerIsNotServed(t *testing.T) {
 	d := startInstance(t, nil, raw(t, func(_ int, conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
--- a/internal/frontdoor/config.go
+++ b/internal/frontdoor/config.go
@@ -1,8 +1,11 @@
-// Package frontdoor puts one gateway of package gateway on real sockets: it takes clients' requests over
-// HTTP, carries out the gateway's decisions towards the backends and follows discovery. It decides nothing
-// itself. config.go reads the configuration, loop.go owns the gateway, clients.go and backends.go are the two
-// sides of a request, conns.go bounds the connections of clients and pool.go those to backends, discovery.go keeps
-// the list of backends up to date.
+// Package frontdoor runs one gateway of package gateway on real sockets: it accepts clients' requests over HTTP,
+// executes the gateway's decisions towards the backends and watches discovery. It makes no policy decisions itself.
+//
+//   - config.go reads the configuration;
+//   - loop.go owns the gateway, passes it events and executes its actions;
+//   - clients.go serves clients, requests.go validates their requests, conns.go bounds and watches their connections;
+//   - backends.go sends attempts, responses.go reads the responses, pool.go bounds and reuses the connections;
+//   - discovery.go keeps the list of backends up to date, lists.go parses lists, pace.go sets pauses and time-outs.
 package frontdoor
 
 import (
@@ -16,33 +19,33 @@
 	"herontiller/internal/wire"
 )
 
-// Limits are what this front door may use.
+// Limits are the resources that this instance may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// clientConns is how many connections of clients may be open. They hold a third of the descriptors at most for
-// requests; the rest is room for those that ask now and then.
+// clientConns is how many connections of clients may be open. Clients need a third of the descriptors at most for
+// concurrent requests; the surplus is for clients with a request now and then.
 func (l Limits) clientConns() int { return max(1, l.Sockets*5/12) }
 
 // backendConns is how many connections to backends may be open, idle ones among them.
 func (l Limits) backendConns() int { return max(1, l.Sockets*5/12) }
 
-// Config is what a front door is told at its start.
+// Config is the configuration of one instance.
 type Config struct {
 	Name      string
 	Listen    string
 	Discovery string
 	Seed      uint64
 	Limits    Limits
-	Known     EndpointList // the backends as this front door last had them
+	Known     EndpointList // the backends as this instance last knew them
 	Settings  gateway.Settings
 	Conns     wire.Connections
 }
 
-// LoadConfig reads and checks the file that NODE_CONFIG names.
+// LoadConfig reads and validates the configuration file at path, which NODE_CONFIG names. Errors name the path.
 func LoadConfig(path string) (Config, error) {
 	if path == "" {
 		return Config{}, errors.New("NODE_CONFIG is not set")
@@ -72,7 +75,7 @@
 		return Config{}, err
 	}
 	if file.Listen == "" || file.Discovery == "" {
-		return Config{}, errors.New("it names no listen or no discovery address")
+		return Config{}, errors.New("no listen or no discovery address")
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
@@ -82,7 +85,7 @@
 		return Config{}, fmt.Errorf("limits %+v are not all above 0", l)
 	}
 	if len(file.Settings) == 0 {
-		return Config{}, errors.New("it holds no settings")
+		return Config{}, errors.New("no settings")
 	}
 	settings, conns, err := wire.DecodeSettings(file.Settings)
 	if err != nil {
--- a/internal/frontdoor/config_test.go
+++ b/internal/frontdoor/config_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// Bad configuration is one clear line, not a front door that runs on defaults.
+// Bad configuration is one clear line, not an instance that runs on defaults.
 func TestBadConfig(t *testing.T) {
 	for name, change := range map[string][2]string{
 		"not JSON":       {"{", "["},
--- a/internal/frontdoor/conns.go
+++ b/internal/frontdoor/conns.go
@@ -12,18 +12,18 @@
 	"time"
 )
 
-// clientListener accepts connections that know whether a request has begun on them. The server takes a connection for
-// idle until it has read a whole head, and a head may come in pieces.
+// clientListener accepts connections that track whether a request has begun on them. The server regards a connection as
+// idle until it has read a whole head, and a head may arrive in pieces.
 type clientListener struct {
 	net.Listener
 	draining atomic.Bool // finish has been called
 }
 
-// settleTime is how long nothing must have come at the end before the listener is closed.
+// settleTime is how long the backlog must stay empty at the end before the listener is closed.
 const settleTime = time.Millisecond
 
-// Accept gives the next connection. At the end it first gives those that the system has accepted and nobody has taken
-// yet: closing the listener would reset them, with the requests that have come on them.
+// Accept returns the next connection. After stopAccepting it first returns those in the kernel's backlog, as closing
+// the listener would reset them and lose their requests, and then net.ErrClosed.
 func (l *clientListener) Accept() (net.Conn, error) {
 	for settling := false; ; {
 		c, err := l.Listener.Accept()
@@ -32,7 +32,7 @@
 			return &clientConn{Conn: c, acceptedAt: time.Now()}, nil
 		case !ok || !ne.Timeout() || !l.draining.Load():
 			return nil, err
-		case settling: // nothing has waited since the last look
+		case settling: // the backlog has stayed empty since the last look
 			return nil, errors.Join(net.ErrClosed, l.Close())
 		}
 		settling = true
@@ -42,7 +42,7 @@
 	}
 }
 
-// stopAccepting stops accepting as soon as nobody waits to be accepted.
+// stopAccepting makes Accept end as soon as the backlog is empty.
 func (l *clientListener) stopAccepting() error {
 	l.draining.Store(true)
 	return l.setDeadline(time.Now())
@@ -55,26 +55,26 @@
 	return l.Close()
 }
 
-// maxReadAhead is how much a client may send while its request is open. Ours send one request at a time; what one sends
-// ahead is kept only so that its leaving is seen behind it.
+// maxReadAhead is how many bytes a client may send while its request is open. Clients send one request at a time; bytes
+// ahead are buffered only so that a disconnection behind them is noticed.
 const maxReadAhead = 16 << 10
 
-// watchBufferSize is read at a time meanwhile.
+// watchBufferSize is how many bytes awaitDisconnect reads at once.
 const watchBufferSize = 512
 
-var errReadAheadFull = errors.New("too much was sent ahead of an answer")
+var errReadAheadFull = errors.New("too much was sent ahead of a response")
 
-// clientConn is a client's connection. While a request is open on it, the server waits for the client's leaving in a
-// read of one byte, and the first byte that comes ends that wait: of whoever sends more it would never see the leaving.
-// So what comes then is kept here, and the wait goes on.
+// clientConn is a client's connection. While a request is open on it, the server detects a disconnection by a read of
+// one byte, and any byte that arrives ends that read: it would never notice that a client that has sent more
+// disconnects. So such bytes are buffered here, and the read goes on.
 type clientConn struct {
 	net.Conn
-	requestBegun atomic.Bool // something has been read since it was new or idle
-	acceptedAt   time.Time   // its accept; zero once a request has been answered on it. The table's.
+	requestBegun atomic.Bool // something has been read since the connection was new or idle
+	acceptedAt   time.Time   // zero once a request has been answered; guarded by connTable.mu
 
-	// Of the server, which reads in one goroutine at a time.
+	// Used by the server, which reads in one goroutine at a time.
 	requestOpen bool   // a request is open
-	readAhead   []byte // read behind that request
+	readAhead   []byte // bytes received behind that request
 }
 
 func (c *clientConn) Read(p []byte) (int, error) {
@@ -88,7 +88,7 @@
 	}
 	n, err := c.Conn.Read(p)
 	if ne, ok := err.(net.Error); ok && ne.Timeout() && !c.requestBegun.Load() && peekSocket(c.Conn) == dataAvailable {
-		// A request has come in the same moment as the end of the time that the client may be silent.
+		// A request has arrived at the same moment as the idle time-out.
 		if err := c.SetReadDeadline(time.Now().Add(headTimeout)); err != nil {
 			return 0, err
 		}
@@ -100,7 +100,7 @@
 	return n, err
 }
 
-// awaitDisconnect reads until the client leaves, or until the server ends the wait by a deadline.
+// awaitDisconnect reads until the client disconnects, or until the server ends the wait by a deadline.
 func (c *clientConn) awaitDisconnect() error {
 	for {
 		var buf [watchBufferSize]byte
@@ -119,7 +119,7 @@
 	}
 }
 
-// SyscallConn lets pending look at the connection below.
+// SyscallConn gives peekSocket the connection below.
 func (c *clientConn) SyscallConn() (syscall.RawConn, error) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -128,21 +128,21 @@
 	return sc.SyscallConn()
 }
 
-// connTable bounds the connections that clients hold. Where one comes too many, the one that has been silent for
-// longest is closed, be it between requests or without a first one. One with a request open is never closed.
+// connTable bounds the number of clients' connections. Above the limit the one that has been idle longest is closed,
+// whether between requests or before its first. A connection with an open request is never closed.
 type connTable struct {
 	maxOpen int
 
 	mu   sync.Mutex
 	open map[net.Conn]*list.Element // nil while a request is open
-	idle *list.List                 // of net.Conn, the longest silent first
+	idle *list.List                 // of net.Conn, the longest idle first
 }
 
 func newConnTable(maxOpen int) *connTable {
 	return &connTable{maxOpen: maxOpen, open: map[net.Conn]*list.Element{}, idle: list.New()}
 }
 
-// connStateChanged is the server's hook: it hears of every change of a connection's state, of a new one before it is served.
+// connStateChanged is the server's ConnState hook. It is called for a new connection before that is served.
 func (t *connTable) connStateChanged(c net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -154,7 +154,7 @@
 	case http.StateNew, http.StateIdle:
 		if ok && state == http.StateIdle {
 			cc.requestOpen, cc.acceptedAt = false, time.Time{}
-			cc.requestBegun.Store(len(cc.readAhead) > 0) // what else was read until here is answered
+			cc.requestBegun.Store(len(cc.readAhead) > 0) // all else that was read is answered
 		}
 		t.open[c] = t.idle.PushBack(c)
 	case http.StateActive:
@@ -167,14 +167,14 @@
 	}
 	if state == http.StateNew && len(t.open) > t.maxOpen {
 		t.mu.Unlock()
-		runtime.Gosched() // what has come on the connections taken just now is read first
+		runtime.Gosched() // lets the data on connections accepted just now be read first
 		t.mu.Lock()
 		t.closeExcess()
 	}
 }
 
-// closeExcess closes the longest silent until the rest are few enough. One on which something has come since its last
-// answer, be it read or not, is spared, if there is another: closing it would lose the request that has begun there.
+// closeExcess closes the longest idle connections down to the limit. One on which data has arrived since its last
+// response, read or not, is spared if there is another: closing it would lose the request that has begun.
 func (t *connTable) closeExcess() {
 	for over := len(t.open) - t.maxOpen; over > 0 && t.idle.Len() > 0; over-- {
 		e := t.idle.Front()
@@ -187,8 +187,8 @@
 	}
 }
 
-// closeIdle closes the connections on which nothing has come since their last answer, and those that are new and have
-// been silent for some time. It tells how many are left.
+// closeIdle closes the connections on which nothing has arrived since their last response, and new ones that have been
+// silent for the given time. It returns how many remain.
 func (t *connTable) closeIdle(silent time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -206,23 +206,23 @@
 	return len(t.open)
 }
 
-// hasPendingRequest tells whether some of a request has come on a connection that counts as silent.
+// hasPendingRequest reports whether a part of a request has arrived on a connection that counts as idle.
 func hasPendingRequest(c net.Conn) bool {
-	seen := peekSocket(c) // first, as what it sees may be read right behind
+	seen := peekSocket(c) // before requestBegun, as the data it sees may be read right after
 	cc, ok := c.(*clientConn)
 	return seen == dataAvailable || ok && cc.requestBegun.Load()
 }
 
-// socketState is what can be seen on a connection without taking anything from it.
+// socketState is the state of a connection as seen without reading from it.
 type socketState uint8
 
 const (
-	noData        socketState = iota // nothing has come
-	dataAvailable                    // something has come
-	peerClosed                       // the other side has closed it, or it is broken
+	noData        socketState = iota // open, no data to read
+	dataAvailable                    // data to read
+	peerClosed                       // closed by the peer, or broken
 )
 
-// peekSocket looks whether something has come on a connection that nobody has read yet.
+// peekSocket returns the state of a connection, without blocking.
 func peekSocket(c net.Conn) socketState {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/frontdoor/conns_test.go
+++ b/internal/frontdoor/conns_test.go
@@ -14,7 +14,7 @@
 	"herontiller/internal/gateway"
 )
 
-// dialAll opens connections to a door.
+// dialAll opens connections to an instance.
 func dialAll(t *testing.T, addr string, n int) []net.Conn {
 	t.Helper()
 	conns := make([]net.Conn, n)
@@ -40,7 +40,7 @@
 	return string(said)
 }
 
-// startSmall starts a door that lets clients have five connections.
+// startSmall starts an instance that lets clients have five connections.
 func startSmall(t *testing.T, g decider) (*testInstance, *Clients) {
 	t.Helper()
 	c := config(t)
@@ -196,14 +196,14 @@
 	for range 4 {
 		<-ends
 	}
-	if len(g.heard) > 0 {
-		t.Errorf("the gateway heard %+v", <-g.heard)
+	if len(g.received) > 0 {
+		t.Errorf("the gateway heard %+v", <-g.received)
 	}
 }
 
 // A request that can be framed in two ways may hide another in its body. The server drops one of the two headers
 // before a handler sees them, so the one left must be enough to turn it away.
-func TestTwoFramingsAreTurnedAway(t *testing.T) {
+func TestTwoFramingsAreRejected(t *testing.T) {
 	g := script(nil)
 	d := startInstance(t, g)
 	next[gateway.BackendList](t, g)
@@ -216,8 +216,8 @@
 			t.Errorf("%s: %q", proto, said)
 		}
 	}
-	if len(g.heard) > 0 {
-		t.Errorf("the gateway heard %+v", <-g.heard)
+	if len(g.received) > 0 {
+		t.Errorf("the gateway heard %+v", <-g.received)
 	}
 }
 
--- a/internal/frontdoor/crossing_test.go
+++ b/internal/frontdoor/crossing_test.go
@@ -18,9 +18,9 @@
 
 // The tests of this file make two events cross in the order that does harm, every time.
 
-// A client that sends a second request behind the first and leaves has left both: the first ends, the second is not
-// begun. The server's own watch for its leaving ends with the first byte of the second request.
-func TestAClientThatLeavesBehindAPipelinedRequest(t *testing.T) {
+// A client that sends a second request behind the first and then disconnects has given up both: the first ends, the
+// second is not begun. The server's own watch for its disconnecting ends with the first byte of the second request.
+func TestAClientThatDisconnectsBehindAPipelinedRequest(t *testing.T) {
 	for how, leave := range leaving {
 		for ahead, together := range map[string]bool{"in one piece": true, "behind": false} {
 			t.Run(how+" "+ahead, func(t *testing.T) {
@@ -44,8 +44,8 @@
 				if err := <-d.done; err != nil { // from here on nothing can come of the connection any more
 					t.Error(err)
 				}
-				for len(g.heard) > 0 {
-					if r, ok := (<-g.heard).(gateway.Request); ok {
+				for len(g.received) > 0 {
+					if r, ok := (<-g.received).(gateway.Request); ok {
 						t.Errorf("request %x was begun after its client had left", r.ID)
 					}
 				}
@@ -54,7 +54,7 @@
 	}
 }
 
-// What is sent ahead of an answer and not left behind is served next, in its order.
+// What is sent ahead of a response by a client that stays is served next, in its order.
 func TestRequestsSentAheadAreServedInOrder(t *testing.T) {
 	goOn := make(chan bool, 1)
 	read := make(chan bool, 3)
@@ -137,7 +137,7 @@
 
 // slowReads gives out connections whose reads of requests wait, once the test says so, until somebody looks at what has
 // come on the connection, or closes it: whatever comes before is there and not read. Requests are read into a buffer of
-// the server's; shorter reads are those that watch for the client's leaving.
+// the server's; shorter reads are those that watch for the client's disconnecting.
 type slowReads struct {
 	*net.TCPListener
 	wait   chan bool // closed: from now on
@@ -178,9 +178,9 @@
 	return c.Conn.(*net.TCPConn).SyscallConn()
 }
 
-// A request that has come on a kept connection, and is not read yet, when the quiet connections are closed at the end
+// A request that has come on a pooled connection, and is not read yet, when the idle connections are closed at the end
 // is served.
-func TestARequestOnAKeptConnectionIsServedAtTheEnd(t *testing.T) {
+func TestARequestOnAnIdleConnectionIsServedAtTheEnd(t *testing.T) {
 	ln := &slowReads{TCPListener: listen(t), wait: make(chan bool), looked: make(chan bool)}
 	g := script(func(ev gateway.Event) []gateway.Action {
 		if r, ok := ev.(gateway.Request); ok {
--- a/internal/frontdoor/discovery.go
+++ b/internal/frontdoor/discovery.go
@@ -17,14 +17,14 @@
 	"golang.org/x/time/rate"
 )
 
-// EndpointList is a list of backends, or of changes to it, as discovery tells it.
+// EndpointList is a whole list of backends, or changes to one, in the form that discovery sends.
 type EndpointList struct {
 	Seq   int64      `json:"seq"`
 	Whole bool       `json:"whole"`
 	Hosts []Endpoint `json:"hosts"`
 }
 
-// Endpoint is one backend.
+// Endpoint is one backend of a list.
 type Endpoint struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -38,7 +38,7 @@
 
 var states = map[string]gateway.BackendState{"Ready": gateway.Ready, "Terminating": gateway.Draining, "Gone": gateway.Gone}
 
-// validEndpoints leaves out the entries that make no sense. One of them stands for all in the log.
+// validEndpoints drops invalid entries. The log shows the first of them.
 func validEndpoints(hosts []Endpoint) []Endpoint {
 	var first Endpoint
 	skipped := 0
@@ -54,60 +54,61 @@
 		return bad
 	})
 	if skipped > 0 {
-		slog.Warn("discovery: entries that make no sense", "left out", skipped, "first", fmt.Sprintf("%.200q", fmt.Sprint(first)))
+		slog.Warn("discovery: invalid entries", "dropped", skipped, "first", fmt.Sprintf("%.200q", fmt.Sprint(first)))
 	}
 	return hosts
 }
 
 const (
-	// What discovery has, and could be asked for, counts as told after this time, whatever failed, was refused or was given
-	// up meanwhile. A watch that has fallen silent, a second one that does so at once, and the pauses and the ask behind
-	// them take no longer.
+	// stalenessBound is the protocol's bound on a list that could be requested: what discovery has counts as known to
+	// every instance after this time, whatever failed or was rejected meanwhile. A watch that falls silent, a second
+	// one that does so at once, the pauses after both and the next request take no longer.
 	stalenessBound = 6 * time.Second
-	// A watch says something every 2 s, if only an empty line. One that is silent for longer is dead. To ask an agent once
-	// too often costs nothing, to ask a service in vain does.
+	// A watch sends a heartbeat, an empty line, every 2 s. One that is silent for longer is dead. A needless request
+	// costs an agent nothing, but does cost a service.
 	agentIdleTimeout   = 2500 * time.Millisecond
 	serviceIdleTimeout = 3 * time.Second
-	maxQueueWait       = 2 * time.Second // a call to a service may wait in turn for as long
-	listTimeout        = time.Second     // a list that has begun is whole by then: it is sent at once
+	maxQueueWait       = 2 * time.Second // how long a service lets a request wait in its queue
+	listTimeout        = time.Second     // from the first byte of a list to its end: it is sent at once
 )
 
-// Where the settings say that lists are pushed, an agent on the front door's own machine holds what it has been sent
-// and answers at once and at no cost to anybody. There is nothing to spare by waiting, and much to lose: what the
-// agent holds counts as told, whether or not a watch is open, so a door that has just started, whose watch has just
-// been reset, or whose agent was silent until a moment ago may send to a backend that drains for DrainGrace and no
-// longer. It asks at once, and each ask in vain and the pause behind it take less than that together.
+// Where the settings say that lists are pushed, an agent on the instance's own machine holds the list and responds at
+// once and at no cost to others. What the agent holds counts as known whether or not a watch is open, so an instance
+// that has just started, whose watch has just been reset, or whose agent was silent until a moment ago may send to a
+// draining backend for DrainGrace and no longer. So it requests at once, and a failed request and the pause behind it
+// together take less than DrainGrace.
 //
-// Where the list has to be asked for, discovery is one service of fixed capacity for the whole fleet. An ask takes it
-// some milliseconds, and more for each line of its answer; asks wait in turn for up to askWait, and one that would have
-// to wait for longer is refused at once and was seen to cost nothing. So what uses the service best is to ask at once
-// and again soon: it is busy for as long as somebody is not served, and the least time goes by until all are. How the
-// service fares shows in its answers alone; the size of the fleet tells nothing, as mostly a few of it ask.
+// Where the list must be requested, discovery is one service of fixed capacity for the whole fleet. A request costs it
+// some milliseconds, and more for each entry of its response; requests queue for up to maxQueueWait, and one that
+// would have to wait for longer is rejected at once, at no cost that was measured. So the service is used best by
+// requests at once and soon again: it stays busy while any instance is not served, which minimises the time until all
+// are. The service's load shows in its responses alone; the size of the fleet does not predict it, as mostly a few
+// instances send requests.
 //
-// Failures are followed by a pause with full jitter. Who needs a list most asks most often. A process without one can
-// serve nobody, and goes on asking after retryLeast while the service has too much to do. One whose list is good for a
-// while yet leaves the service to those once it was refused, and takes all of that while. One that has come too late as
-// well sends only to backends that are vouched for in another way, and waits longer. While the service is down, it was seen
-// to hold each ask for askWait before it refused it, which spreads them enough; nobody should be long in coming back then,
-// so no pause is longer than leaves time for the wait in turn within toldAfter.
+// Failures are followed by a pause with full jitter. The more an instance needs a list, the more often it requests
+// one. One without a list can serve nobody, and retries after retryBase while the service is overloaded. One whose
+// list is valid for a while yet leaves the service to those once it was rejected, and spreads its retry over that
+// while. One whose list is stale sends only to backends confirmed by recent responses, and waits longer. A service
+// that is down was seen to hold each request for maxQueueWait before rejecting it, which spreads them enough;
+// instances should return soon then, so no pause exceeds what leaves time for the queue within stalenessBound.
 const (
-	retryBase    = 200 * time.Millisecond // the longest pause after a first failure; further ones double it
+	retryBase    = 200 * time.Millisecond // the longest pause after a first failure; doubled by each further one
 	retryMaxNew  = 400 * time.Millisecond // ... up to this for a process that has had no list
-	retryMax     = 2 * time.Second        // ... or to this: with the wait in turn, well within toldAfter
-	retryMaxBusy = 3 * time.Second        // the longest pause after a refusal for a process whose list is too old by then
-	fastRefusal  = 500 * time.Millisecond // a refusal that took longer is not that of a service with too much to do
-	failedFactor = 4                      // times as long one may go without asking after a failed ask, by the pages
+	retryMax     = 2 * time.Second        // ... or to this: with maxQueueWait, well within stalenessBound
+	retryMaxBusy = 3 * time.Second        // the longest pause after a rejection for a process whose list is stale by then
+	fastRefusal  = 500 * time.Millisecond // a rejection that took longer is not that of an overloaded service
+	failedFactor = 4                      // the protocol multiplies the staleness bound by this after a failed request
 
-	agentTimeoutFraction = 1.0 / 2 // of DrainGrace is how long an agent may take to answer
-	agentPauseFraction   = 1.0 / 4 // ... and this at most is waited after an ask in vain
+	agentTimeoutFraction = 1.0 / 2 // of DrainGrace: an agent's response time-out
+	agentPauseFraction   = 1.0 / 4 // of DrainGrace: the longest pause after a failed request to an agent
 )
 
-// fromFullList, as a version to start from, asks for the whole list first.
+// fromFullList, as a version to start from, makes the follower request the whole list first.
 const fromFullList = -1
 
-// Follow follows the configuration's discovery until ctx ends, from the known list on; each address that comes from moves
-// takes the place of the one before. Another discovery may number its versions in another way, so after a move
-// the whole list is taken first. An empty line of a watch is passed on as a list of no changes.
+// Follow watches the configuration's discovery until ctx ends, starting at the version of the known list; each address
+// received from moves replaces the one before. Another discovery may number its versions differently, so after a move
+// the whole list is requested first. A heartbeat of a watch is passed to update as a list of no changes.
 func Follow(ctx context.Context, config Config, moves <-chan string, update func(EndpointList)) {
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: time.Second}).DialContext,
 		DisableKeepAlives: true, DisableCompression: true}
@@ -131,7 +132,7 @@
 		case <-ctx.Done():
 		}
 		stop()
-		<-ended // nothing that the old one says may come after the new one's list
+		<-ended // no update of the old one may follow the new one's list
 		if ctx.Err() != nil {
 			return
 		}
@@ -139,14 +140,14 @@
 	}
 }
 
-// follower follows one discovery at a time.
+// follower watches one discovery at a time.
 type follower struct {
 	transport     http.RoundTripper
 	policy        retryPolicy
 	addr          string
 	version       int64              // the version of the list that is held
-	update        func(EndpointList) // takes in lists and changes; none confirms what is held
-	lastConfirmed time.Time          // when discovery last said that nothing else had changed; zero: not yet
+	update        func(EndpointList) // receives lists and changes; an empty list of changes confirms the current list
+	lastConfirmed time.Time          // when discovery last confirmed the list; zero: not yet
 }
 
 func newFollower(rt http.RoundTripper, policy retryPolicy, addr string, from int64, update func(EndpointList)) *follower {
@@ -158,7 +159,7 @@
 	return f
 }
 
-// keepWatching follows discovery, over as many watches as it takes, until ctx ends.
+// keepWatching opens one watch after another until ctx ends.
 func (f *follower) keepWatching(ctx context.Context) {
 	sometimes := rate.Sometimes{First: 3, Interval: 5 * time.Second}
 	failures := 0
@@ -181,7 +182,7 @@
 	}
 }
 
-// fetchAndWatch takes the whole list, if that is wanted, and watches what changes for as long as the watch lasts.
+// fetchAndWatch requests the whole list, if the version says so, and then the changes for as long as the watch lasts.
 func (f *follower) fetchAndWatch(ctx context.Context) error {
 	if f.version == fromFullList {
 		if err := f.fetch(ctx); err != nil {
@@ -191,7 +192,7 @@
 	return f.watch(ctx)
 }
 
-// sleep waits, and tells whether ctx has not ended by then.
+// sleep waits for d or the end of ctx, and reports whether ctx is still alive.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -206,50 +207,51 @@
 }
 
 var (
-	errStreamIdle       = errors.New("nothing was heard for too long")
-	errNotFullList      = errors.New("the answer is no whole list")
+	errStreamIdle       = errors.New("nothing was received for too long")
+	errNotFullList      = errors.New("the response is no whole list")
 	errVersionRegressed = errors.New("the versions have gone back")
 )
 
-// statusError tells that discovery answered an ask with no list.
+// statusError is a response of discovery other than 200 OK.
 type statusError struct {
 	status string
-	took   time.Duration // how long it let the ask wait
+	took   time.Duration // from the request to the response
 }
 
 func (e *statusError) Error() string { return fmt.Sprintf("answered %s after %v", e.status, e.took) }
 
-// openResponse opens one of discovery's answers.
+// openResponse sends a request to discovery and returns its response. Another status than 200 is a *statusError.
 func openResponse(ctx context.Context, rt http.RoundTripper, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	asked := time.Now()
+	sent := time.Now()
 	res, err := rt.RoundTrip(req)
 	if err != nil {
 		return nil, err
 	}
 	if res.StatusCode != http.StatusOK {
 		res.Body.Close()
-		return nil, &statusError{status: res.Status, took: time.Since(asked)}
+		return nil, &statusError{status: res.Status, took: time.Since(sent)}
 	}
 	return res, nil
 }
 
-// streamReader is one of discovery's answers as it comes. It ends when nothing is heard for too long, or when a list that has
-// begun is not whole in time: one that drips would else keep all that follows from being heard.
+// streamReader reads a streamed response of discovery. The stream ends when nothing is received for idleTimeout, or
+// when a list that has begun is not complete within listTimeout: a list sent in drips would otherwise delay all
+// that follows.
 type streamReader struct {
 	io.Reader
 	idleTimeout time.Duration
 	timer       *time.Timer
-	inList      bool   // some of a list has come, and not yet all
-	onHeartbeat func() // is called for what comes between two lists; nil: before the first one
+	inList      bool   // a list has begun and not ended
+	onHeartbeat func() // called for a heartbeat, between two lists; nil: before the first one
 	close       func()
 }
 
-// openStream opens an answer whose first word must come within first, and each further one within silence. Its end must be
-// called.
+// openStream sends a request whose response must begin within firstTimeout and then send something at least once every
+// idleTimeout. The caller must call the stream's close.
 func openStream(ctx context.Context, rt http.RoundTripper, url string,
 	firstTimeout, idleTimeout time.Duration) (*streamReader, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -286,13 +288,13 @@
 	return n, err
 }
 
-// listComplete marks the end of a list.
+// listComplete marks the end of a list: from here on heartbeats are expected.
 func (h *streamReader) listComplete() {
 	h.inList = false
 	h.timer.Reset(h.idleTimeout)
 }
 
-// fetch takes the whole list, once.
+// fetch requests the whole list.
 func (f *follower) fetch(ctx context.Context) error {
 	url := fmt.Sprintf("http://%s/v1/endpoints", f.addr)
 	answer, err := openStream(ctx, f.transport, url, f.policy.responseTimeout(), f.policy.idleTimeout())
@@ -313,9 +315,9 @@
 	return nil
 }
 
-// watch follows discovery over one connection, for as long as it says something in time. A line that cannot be read
-// ends it, and the next watch asks for the same changes again: passing over the line could lose the word that a backend
-// drains. An empty line confirms the list only once the watch has said what had changed before it.
+// watch reads changes from one connection for as long as it sends something in time. A line that cannot be parsed
+// ends it, and the next watch requests the same changes again: skipping the line could lose the news that a backend
+// drains. A heartbeat confirms the list only once the watch has sent what had changed before it.
 func (f *follower) watch(ctx context.Context) error {
 	url := fmt.Sprintf("http://%s/v1/endpoints?watch=1&from=%d", f.addr, f.version)
 	answer, err := openStream(ctx, f.transport, url, f.policy.responseTimeout(), f.policy.idleTimeout())
@@ -330,7 +332,7 @@
 			return err
 		}
 		answer.listComplete()
-		if !list.Whole && list.Seq < f.version { // discovery has begun anew: what changed before is not known here
+		if !list.Whole && list.Seq < f.version { // discovery has restarted: changes before that are unknown here
 			f.version = fromFullList
 			return errVersionRegressed
 		}
--- a/internal/frontdoor/discovery_test.go
+++ b/internal/frontdoor/discovery_test.go
@@ -15,13 +15,13 @@
 	"herontiller/internal/gateway"
 )
 
-// prompt is the pace of an agent that may take long over an ask.
+// prompt is the retry policy for an agent that may take long over a request.
 var prompt = retryPolicy{grace: time.Duration(float64(patient) / agentTimeoutFraction)}
 
 const entry = `{"host":"s-1","dial":"127.0.0.1:%d","site":"a","class":"m2","block":3,"health":"%s","share":1.0,"born_ms":0}`
 
-// A watch that is silent, ends or says what cannot be read is given up, and the next one asks from the version
-// that was heard last: nothing that discovery told may be lost on the way, a drain least of all.
+// A watch that is silent, ends or says what cannot be read is given up, and the next one requests from the version
+// that was received last: nothing that discovery sent may be lost on the way, a drain least of all.
 func TestWatchGoesOnWhereItWas(t *testing.T) {
 	asked := make(chan string, 10)
 	n := 0
@@ -168,23 +168,23 @@
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// step is what discovery does with one ask.
-type step string
+// response is what discovery does with one request.
+type response string
 
 const (
-	refuses   step = "refuses"            // 503
-	resets    step = "resets"             // the connection breaks
-	unheard   step = "says nothing"       // not even a head
-	headOnly  step = "sends a head only"  // and is silent then
-	drips     step = "drips"              // a list that never ends
-	goesQuiet step = "tells, goes silent" // its first list, and nothing from then on
-	tells     step = "tells"              // and goes on
+	refuses   response = "refuses"            // 503
+	resets    response = "resets"             // the connection breaks
+	unheard   response = "says nothing"       // not even a head
+	headOnly  response = "sends a head only"  // and is silent then
+	drips     response = "drips"              // a list that never ends
+	goesQuiet response = "tells, goes silent" // its first list, and nothing from then on
+	tells     response = "tells"              // and goes on
 )
 
-// scriptedDiscovery is a discovery that takes one step for each ask, and tells from then on. What it has changed since is in all
-// lists that it tells; it is what a whole list holds, too.
+// scriptedDiscovery is a discovery that takes one step for each request, and sends lists from then on. What it has
+// changed since is in all lists that it sends; it is what a whole list holds, too.
 type scriptedDiscovery struct {
-	steps []step
+	steps []response
 	asks  int
 	seq   atomic.Int64
 }
@@ -255,9 +255,10 @@
 	return ok(&lines{r.Context(), list, do == tells, r.URL.RawQuery == ""})
 }
 
-// A change that discovery has, and that could be asked for, is known within toldAfter, whatever was refused, failed or
-// given up meanwhile: the change comes in the moment in which the last watch has said its last word, and what the next
-// asks meet is scripted. So is where the door starts, or is moved by SIGHUP in the middle of an ask.
+// A change that discovery has, and that could be requested, is known within stalenessBound, whatever was refused,
+// failed or given up meanwhile: the change comes in the moment in which the last watch has said its last word, and
+// what the next requests meet is scripted. So is where the instance starts, or is moved by SIGHUP in the middle of a
+// request.
 func TestAChangeIsKnownInTime(t *testing.T) {
 	agent := Config{Settings: gateway.Settings{FrontDoors: 350, DrainGrace: 500 * time.Millisecond}}
 	service := func(doors int) Config {
@@ -267,19 +268,19 @@
 		name   string
 		config Config
 		moved  bool
-		steps  []step
+		steps  []response
 	}{
-		{"a silent watch", agent, false, []step{goesQuiet}},
-		{"a silent watch, and the next silent at once", agent, false, []step{goesQuiet, headOnly}},
-		{"a silent watch, refusals and breaks", agent, false, []step{goesQuiet, refuses, resets, unheard, refuses, resets}},
-		{"a silent watch, then a list that drips", agent, false, []step{goesQuiet, drips}},
-		{"a start at an agent that is silent twice", agent, false, []step{unheard, unheard, headOnly}},
-		{"a move in the middle of an ask", agent, true, []step{unheard, refuses, headOnly}},
-		{"a move and a whole list that drips", agent, true, []step{unheard, drips, resets}},
-		{"a silent watch of a service", service(4), false, []step{goesQuiet}},
-		{"a silent watch of a service that then refuses", service(30), false, []step{goesQuiet, refuses}},
-		{"a start at a service that refuses twice", service(30), false, []step{refuses, refuses}},
-		{"a move at a service", service(30), true, []step{unheard, refuses, resets}},
+		{"a silent watch", agent, false, []response{goesQuiet}},
+		{"a silent watch, and the next silent at once", agent, false, []response{goesQuiet, headOnly}},
+		{"a silent watch, refusals and breaks", agent, false, []response{goesQuiet, refuses, resets, unheard, refuses, resets}},
+		{"a silent watch, then a list that drips", agent, false, []response{goesQuiet, drips}},
+		{"a start at an agent that is silent twice", agent, false, []response{unheard, unheard, headOnly}},
+		{"a move in the middle of an ask", agent, true, []response{unheard, refuses, headOnly}},
+		{"a move and a whole list that drips", agent, true, []response{unheard, drips, resets}},
+		{"a silent watch of a service", service(4), false, []response{goesQuiet}},
+		{"a silent watch of a service that then refuses", service(30), false, []response{goesQuiet, refuses}},
+		{"a start at a service that refuses twice", service(30), false, []response{refuses, refuses}},
+		{"a move at a service", service(30), true, []response{unheard, refuses, resets}},
 	} {
 		for range 20 { // pauses are drawn
 			synctest.Test(t, func(t *testing.T) {
@@ -339,9 +340,9 @@
 	}
 }
 
-// Moves that come while an ask is out, twice in a row, and to an address that says nothing, leave the last one followed:
-// what the ones before still say is not heard.
-func TestMovesInTheMiddleOfAnAsk(t *testing.T) {
+// Moves that come while a request is out, twice in a row, and to an address that says nothing, leave the last one
+// followed: what the ones before still say is dropped.
+func TestMovesInTheMiddleOfARequest(t *testing.T) {
 	asked := make(chan string, 100)
 	silent := func(name string) string {
 		return serve(t, func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/frontdoor/fleet_discovery_test.go
+++ b/internal/frontdoor/fleet_discovery_test.go
@@ -14,18 +14,19 @@
 	"herontiller/internal/gateway"
 )
 
-// busyDiscovery is a discovery service of fixed capacity: it serves one ask after another, lets each wait in turn for
-// askWait at most, and refuses at once those that would have to wait for longer. That is how the bench's does it. While it
-// is down it refuses connections, or, if holds, lets each ask wait for askWait and refuses it then, as the bench's does.
+// busyDiscovery is a discovery service of fixed capacity: it serves one request after another, lets each wait in its
+// queue for maxQueueWait at most, and refuses at once those that would have to wait for longer. That is how the
+// bench's does it. While it is down it refuses connections, or, if holds, lets each request wait for maxQueueWait and
+// refuses it then, as the bench's does.
 type busyDiscovery struct {
-	each  time.Duration // that an ask takes it
+	each  time.Duration // that a request takes it
 	holds bool
 
 	mu   sync.Mutex
 	free time.Time // when it will have served all that wait
 	up   context.Context
 	cut  context.CancelFunc // ends all watches
-	idle time.Duration      // time in which nobody asked although it was up
+	idle time.Duration      // time without a request although it was up
 }
 
 var errDown = errors.New("connection refused")
@@ -58,7 +59,7 @@
 	d.cut()
 }
 
-// turn takes a place in the queue, if there is one.
+// turn takes a position in the queue, if there is one.
 func (d *busyDiscovery) turn() (wait time.Duration, up context.Context, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,14 +101,14 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(&lines{ctx, list, !whole, whole})}, nil
 }
 
-// followed is a follower that runs, and when it last heard that its list was current.
+// followed is a follower that runs, and when its list was last confirmed.
 type followed struct {
 	started time.Time
 	moves   chan string
 	end     func()
 
 	mu    sync.Mutex
-	first time.Time // when it heard the first list
+	first time.Time // when it received the first list
 	last  time.Time
 }
 
@@ -137,14 +138,14 @@
 	return f
 }
 
-// heard gives the times of the first and the last list; zero: there was none.
+// listTimes gives the times of the first and the last list; zero: there was none.
 func (f *followed) listTimes() (first, last time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.first, f.last
 }
 
-// late counts the followers that have not heard anything after a moment, and fails where there are any.
+// late counts the followers that have received nothing since a moment, and fails where there are any.
 func late(t *testing.T, fleet []*followed, after time.Time, what string) {
 	t.Helper()
 	count := 0
@@ -200,9 +201,9 @@
 	})
 }
 
-// All of a fleet are moved to another discovery at once, which takes the service 42 s: two asks each. It is kept busy
-// until all are done, and nine in ten of the processes that start meanwhile have a list within the time in which the pages
-// want them to be ready, though most of the fleet has to wait for longer.
+// All of a fleet are moved to another discovery at once, which takes the service 42 s: two requests each. It is kept
+// busy until all are done, and nine in ten of the processes that start meanwhile have a list within the time in which
+// the pages want them to be ready, though most of the fleet has to wait for longer.
 func TestAMoveOfAFleetLeavesRoomForNewProcesses(t *testing.T) {
 	const each, readyWithin = 70 * time.Millisecond, 10 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -228,7 +229,7 @@
 		work := 630 * each
 		time.Sleep(time.Until(start.Add(work + stalenessBound)))
 		late(t, append(started, fleet...), time.Now().Add(-serviceIdleTimeout), "after a move")
-		if second.idle > 3*time.Second+stalenessBound+work/20 { // before the first ask, and after the last one
+		if second.idle > 3*time.Second+stalenessBound+work/20 { // before the first request, and after the last one
 			t.Errorf("the service was idle for %v", second.idle)
 		}
 		endAll(append(started, fleet...))
@@ -245,8 +246,8 @@
 	return m.second.RoundTrip(r)
 }
 
-// What the service can answer within toldAfter, it is asked in time: after it has been down for long, after all watches
-// broke at once, and after all of a fleet were moved.
+// What the service can answer within stalenessBound, it is asked in time: after it has been down for long, after all
+// watches broke at once, and after all of a fleet were moved.
 func TestNobodyIsLateWhereTheServiceCanAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/frontdoor/frontdoor_test.go
+++ b/internal/frontdoor/frontdoor_test.go
@@ -49,7 +49,7 @@
 	return list
 }
 
-// testInstance is a front door that serves on a port of the system's choosing.
+// testInstance is an instance that serves on a port of the system's choosing.
 type testInstance struct {
 	addr string
 	loop *Loop
@@ -80,7 +80,7 @@
 	return d
 }
 
-// ask builds a good request; change alters it.
+// newRequest builds a good request; change alters it.
 func (d *testInstance) newRequest(t testing.TB, class string, change func(*http.Request)) *http.Request {
 	t.Helper()
 	method, body := http.MethodGet, io.Reader(nil)
@@ -170,14 +170,14 @@
 	return ln.Addr().String()
 }
 
-// scripted is a gateway that does as it is told and keeps what it hears.
+// scripted is a gateway that acts by its script and records the events it receives.
 type scripted struct {
-	heard chan gateway.Event
-	on    func(gateway.Event) []gateway.Action
+	received chan gateway.Event
+	on       func(gateway.Event) []gateway.Action
 }
 
 func (s *scripted) Handle(_ time.Duration, ev gateway.Event, as []gateway.Action) []gateway.Action {
-	s.heard <- ev
+	s.received <- ev
 	if s.on != nil {
 		as = append(as, s.on(ev)...)
 	}
@@ -185,7 +185,7 @@
 }
 
 func script(on func(gateway.Event) []gateway.Action) *scripted {
-	return &scripted{heard: make(chan gateway.Event, 100), on: on}
+	return &scripted{received: make(chan gateway.Event, 100), on: on}
 }
 
 // next is the next event of a type.
@@ -194,7 +194,7 @@
 	timeout := time.After(patient)
 	for {
 		select {
-		case ev := <-s.heard:
+		case ev := <-s.received:
 			if e, ok := ev.(E); ok {
 				return e
 			}
@@ -204,7 +204,7 @@
 	}
 }
 
-// serveInstance starts a door on a listener of the test's.
+// serveInstance starts an instance on a listener of the test's.
 func serveInstance(t *testing.T, decisions decider, ln net.Listener, addrs ...string) *testInstance {
 	t.Helper()
 	c := config(t)
@@ -246,7 +246,7 @@
 	return nil
 }
 
-// leaving is how a client goes: by a close, which its machine tells as a reset if it has left something unread.
+// leaving is how a client goes: by a close, which its machine tells as a reset if data is left unread.
 var leaving = map[string]func(net.Conn){
 	"closes": func(c net.Conn) { c.Close() },
 	"resets": func(c net.Conn) {
--- a/internal/frontdoor/fuzz_test.go
+++ b/internal/frontdoor/fuzz_test.go
@@ -127,7 +127,7 @@
 	})
 }
 
-// A list without an end must not fill the memory of a front door, be it asked for or told.
+// A list without an end must not fill the memory of an instance, requested or pushed.
 func TestListsAreBounded(t *testing.T) {
 	endless := roundTrip(func(*http.Request) (*http.Response, error) {
 		body := io.MultiReader(strings.NewReader(`{"seq":1,"whole":true,"hosts":["`), repeat("x"))
--- a/internal/frontdoor/lease_test.go
+++ b/internal/frontdoor/lease_test.go
@@ -9,8 +9,9 @@
 	"herontiller/internal/gateway"
 )
 
-// Where the list has to be asked for, a new process is not ready, and sends nothing by the list of its configuration,
-// until discovery has told one; after listWait it is ready all the same. Where lists are pushed, it is ready at once.
+// Where the list must be requested, a new process is not ready, and sends nothing by the list of its configuration,
+// until discovery has sent one; after firstListTimeout it is ready all the same. Where lists are pushed, it is ready
+// at once.
 func TestReadyWithTheFirstList(t *testing.T) {
 	c := config(t)
 	if !NewClients(c, mustLoop(t, c)).ready() {
@@ -61,7 +62,7 @@
 }
 
 // The lease of a list ends, with the time that a connection may take to come up, before what discovery may have had
-// since counts as told.
+// since counts as known.
 func TestListLeaseEndsInTime(t *testing.T) {
 	c := config(t)
 	if lease := listLease(c); lease != 0 {
--- a/internal/frontdoor/lists.go
+++ b/internal/frontdoor/lists.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// The bounds on what discovery may send. A list's length is bounded by its entries and theirs, so that the longest list
-// that is needed passes, and a list or an entry without an end does not fill the memory.
+// Bounds on discovery's responses. A list is bounded by the number and the length of its entries, so that the longest
+// planned list passes, and an endless list or entry does not exhaust the memory.
 const (
 	maxListBytes   = 4 << 20  // bytes of a list besides its entries, empty lines before it among them
 	maxEntryBytes  = 64 << 10 // bytes of one entry, with what is read ahead behind it
@@ -24,8 +24,8 @@
 	errNoHosts      = errors.New("a list's hosts are no array")
 )
 
-// listReader reads lists one after another, each entry by entry: what it holds besides the entries that it has read is
-// a buffer and no text of a whole list.
+// listReader reads consecutive lists, entry by entry: besides the entries read it holds a buffer, never the text of
+// a whole list.
 type listReader struct {
 	body    *limitedReader
 	decoder *json.Decoder
@@ -36,7 +36,7 @@
 	return &listReader{body: body, decoder: json.NewDecoder(body)}
 }
 
-// next reads one list. An error names the entry that it is about, and leaves nothing of the list.
+// next reads one list. On an error, which names the entry, nothing of the list is returned.
 func (l *listReader) next() (EndpointList, error) {
 	l.body.remaining = maxListBytes
 	list := EndpointList{}
@@ -50,7 +50,7 @@
 		if err != nil {
 			return EndpointList{}, err
 		}
-		if err := l.field(&list, name.(string)); err != nil { // More and Token let only names stand here
+		if err := l.field(&list, name.(string)); err != nil { // More and Token guarantee that this is a name
 			return EndpointList{}, err
 		}
 	}
--- a/internal/frontdoor/lists_test.go
+++ b/internal/frontdoor/lists_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// A closed loop's timers end: its gateway hears of no further tick.
-func TestClosedLoopHearsNoTimer(t *testing.T) {
+// A closed loop's timers end: its gateway is notified of no further timer.
+func TestClosedLoopIsNotifiedOfNoTimer(t *testing.T) {
 	g := script(nil)
 	l := newLoop(clock{time.Now()}, g, NewBackends(config(t)))
 	l.post(gateway.Timer{Token: 1})
@@ -101,7 +101,7 @@
 	}
 	l.Close()
 	l.post(gateway.Timer{Token: 2})
-	if n := len(g.heard); n != 0 {
+	if n := len(g.received); n != 0 {
 		t.Errorf("heard of %d more", n)
 	}
 }
--- a/internal/frontdoor/loop.go
+++ b/internal/frontdoor/loop.go
@@ -12,16 +12,16 @@
 	"herontiller/internal/gateway"
 )
 
-// origin is how far before this process's start the gateway's clock begins, so that a backend's start before
-// ours is still a time above 0. One that started even earlier started long ago.
+// origin is how far before this process's start the gateway's clock begins, so that a backend that started before this
+// process still has a start above 0. One that started even earlier counts as started long ago (0).
 const origin = 24 * time.Hour
 
-// clock is the gateway's: durations since origin, by the monotonic clock.
+// clock gives the gateway its time: the duration since origin, by the monotonic clock.
 type clock struct{ start time.Time }
 
 func (c clock) now() time.Duration { return origin + time.Since(c.start) }
 
-// unixMilli turns a Unix time into the gateway's; 0 stays "long ago".
+// unixMilli converts a Unix time in milliseconds to the gateway's clock; 0 stays "long ago".
 func (c clock) unixMilli(ms int64) time.Duration {
 	if ms == 0 {
 		return 0
@@ -29,13 +29,13 @@
 	return max(0, origin+time.UnixMilli(ms).Sub(c.start))
 }
 
-// errDuplicateID refuses a request whose id is that of one still open.
+// errDuplicateID rejects a request whose id is that of one still open.
 var errDuplicateID = errors.New("a request with this id is open")
 
-// finalResponse is the one final answer to a request.
+// finalResponse is the one final response to a request.
 type finalResponse struct {
 	kind       responseKind
-	retryAfter time.Duration // of a refusal; 0: no advice
+	retryAfter time.Duration // of a rejection; 0: none is stated
 	reply      *reply        // of a served request
 }
 
@@ -47,24 +47,24 @@
 	failed
 )
 
-// openRequest is a request that was taken in. It stays in the table until it has its final answer and all of its
-// attempts have ended.
+// openRequest is a request that the gateway knows of. It stays in the table until it has its final response and all of
+// its attempts have ended.
 type openRequest struct {
 	id           gateway.RequestID
 	msg          *message
-	deadline     time.Time          // attempts end by then
-	response     chan finalResponse // takes the final answer, if there is one before the caller leaves
+	deadline     time.Time          // of its attempts
+	response     chan finalResponse // receives the final response, unless the caller gives up first
 	ended        bool
 	attempts     []attempt
-	attemptsOpen int // attempts that have not ended
+	attemptsOpen int // number of attempts that have not ended
 }
 
-// attempt is what can be done about an attempt that is out: unsend ends one of which nothing has been written whole,
-// and cancel one in any state.
+// attempt holds the ways to end an open attempt: cancelUnsent ends one whose request is not written whole yet, cancel
+// one in any state.
 type attempt struct{ cancelUnsent, cancel context.CancelFunc }
 
-// markEnded marks a request as ended. What has not left this front door by now never does, whatever the settings allow of
-// attempts that have.
+// markEnded marks a request as ended. Attempts that have not been sent by now never are; those that have been go on or
+// are cancelled as the settings allow.
 func (c *openRequest) markEnded() {
 	c.ended = true
 	for _, a := range c.attempts {
@@ -77,27 +77,27 @@
 	Handle(now time.Duration, ev gateway.Event, actions []gateway.Action) []gateway.Action
 }
 
-// Loop owns the gateway. Under one lock it passes on what happens, one event after another, and carries out
-// the actions in order. Nothing that it does under the lock waits for I/O.
+// Loop owns the gateway. Under one lock it passes on events one after another and executes the resulting actions in
+// order. Nothing that it does under the lock waits for I/O.
 type Loop struct {
 	clock    clock
 	backends *Backends
-	hasList  atomic.Bool // discovery has told a list since this process started
+	hasList  atomic.Bool // a list has been received since this process started
 
 	mu       sync.Mutex
-	closed   bool // no event is handled any more
+	closed   bool // events are dropped
 	gateway  decider
 	requests map[gateway.RequestID]*openRequest
-	events   []gateway.Event  // not yet handled; an action may add to them
-	actions  []gateway.Action // kept for its memory
+	events   []gateway.Event  // not handled yet; executing an action may append one
+	actions  []gateway.Action // reused for its memory
 }
 
-// leaseMargin is what may go by between discovery's writing of a word and the moment in which it is taken in here.
+// leaseMargin bounds the time from discovery's write of a list to its handling here.
 const leaseMargin = 250 * time.Millisecond
 
-// listLease is for how long a list that a service has confirmed may be gone by: an attempt that is decided upon at its
-// end must have begun, on a new connection, before what the service may have had since counts as told. Lists that are
-// pushed need none: what the agent has counts as told whatever is known here.
+// listLease is how long a list may be used after a service has confirmed it: an attempt decided at the lease's end must
+// have begun, on a new connection, before the staleness bound of what the service may have learned since. 0 means no
+// lease: pushed lists have none, since what the agent has counts as known at once.
 func listLease(c Config) time.Duration {
 	if !c.Settings.AskForList {
 		return 0
@@ -105,7 +105,7 @@
 	return max(stalenessBound/2, stalenessBound-leaseMargin-c.Conns.Connect)
 }
 
-// NewLoop starts a gateway that knows the backends of the configuration.
+// NewLoop starts a gateway that knows the backends of the configuration. Errors are those of gateway.New.
 func NewLoop(c Config, backends *Backends) (*Loop, error) {
 	k := clock{time.Now()}
 	settings := c.Settings
@@ -123,7 +123,7 @@
 	return &Loop{clock: k, gateway: decisions, backends: backends, requests: map[gateway.RequestID]*openRequest{}}
 }
 
-// Update takes in news from discovery.
+// Update passes a list, or changes to it, from discovery to the gateway.
 func (l *Loop) Update(list EndpointList) {
 	kind := gateway.ListChanges
 	if list.Whole {
@@ -140,8 +140,9 @@
 	l.handle(gateway.BackendList{Kind: kind, Backends: l.backends.update(list, l.clock)})
 }
 
-// Serve passes a request to the gateway and waits for its final answer. When ctx ends first, the request has
-// ended without one: the gateway is told that the client has gone, and the context's error comes back.
+// Serve passes a request to the gateway and waits for its final response. When ctx ends first, the request ends without
+// one: the gateway is notified that the client has disconnected, and the context's error is returned. errDuplicateID is
+// returned for a request whose id is open already.
 func (l *Loop) Serve(ctx context.Context, req gateway.Request, msg *message) (finalResponse, error) {
 	c := &openRequest{id: req.ID, msg: msg, deadline: time.Now().Add(req.Patience), response: make(chan finalResponse, 1)}
 	if err := l.begin(c, req); err != nil {
@@ -169,7 +170,7 @@
 	return nil
 }
 
-// abandon ends a request unless it has had its final answer.
+// abandon ends a request unless it has its final response, and reports whether it did.
 func (l *Loop) abandon(c *openRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -182,7 +183,7 @@
 	return true
 }
 
-// handle passes one event to the gateway, and then those that its actions led to. It wants the lock.
+// handle passes one event to the gateway, and then those that its actions led to. The caller holds the lock.
 func (l *Loop) handle(ev gateway.Event) {
 	l.events = append(l.events, ev)
 	for i := 0; i < len(l.events); i++ {
@@ -210,9 +211,9 @@
 		time.AfterFunc(a.After, func() { l.post(gateway.Timer{Token: a.Token}) })
 	case gateway.Probe:
 		go func() { l.post(l.backends.probe(a.Backend)) }()
-	case gateway.Subscribe: // discovery is always followed
+	case gateway.Subscribe: // discovery is always watched
 	default:
-		slog.Error("the gateway asked for something unknown", "action", fmt.Sprintf("%T", a))
+		slog.Error("the gateway returned an unknown action", "action", fmt.Sprintf("%T", a))
 	}
 }
 
@@ -224,18 +225,18 @@
 	}
 }
 
-// Close ends the gateway's timers, so that a loop of which nothing is wanted any more costs nothing. It ends no request.
+// Close drops all later timers and probe results, so that an unused loop costs nothing. It ends no request.
 func (l *Loop) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
 }
 
-// send starts an attempt. One for a request that has ended is not sent.
+// send starts an attempt. One for a request that has ended is not sent, and reported as such.
 func (l *Loop) send(a gateway.Send) {
 	c := l.requests[a.Request]
 	if c == nil {
-		slog.Error("the gateway sent a request that is not here", "request", a.Request)
+		slog.Error("the gateway sent an unknown request", "request", a.Request)
 		return
 	}
 	n := len(c.attempts)
@@ -260,14 +261,14 @@
 	c.attemptsOpen++
 	sent := l.clock.now()
 	go func() {
-		defer cancel() // and unsent with it
+		defer cancel() // and with it unsent, its child
 		r := l.backends.send(ctx, unsent, a.Backend, c.msg)
 		l.outcome(c, r, gateway.Outcome{Request: c.id, Backend: a.Backend, Attempt: n, Result: r.result,
 			Took: l.clock.now() - sent, HasUse: r.hasUsage, Use: r.usage, Load: r.load})
 	}()
 }
 
-// outcome ends an attempt. The first good answer of a request goes to its client.
+// outcome ends an attempt and notifies the gateway. The first good response to a request goes to its client.
 func (l *Loop) outcome(c *openRequest, r *reply, ev gateway.Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -280,7 +281,7 @@
 	l.remove(c)
 }
 
-// finish gives a request its final answer. Only the first one counts.
+// finish gives a request its final response. Only the first one counts.
 func (l *Loop) finish(id gateway.RequestID, a finalResponse) {
 	c := l.requests[id]
 	if c == nil || c.ended {
--- a/internal/frontdoor/pace.go
+++ b/internal/frontdoor/pace.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// How calls to discovery are paced, and how long one may take.
+// Back-off and time-outs of requests to discovery.
 
-// retryPolicy is how asks are spread.
+// retryPolicy determines the pauses between requests to discovery and their time-outs.
 type retryPolicy struct {
-	sharedService     bool          // all front doors ask one service
-	staleAfterFailure time.Duration // this long after a failed ask, what is listed counts as told if nobody asked; 0: not so
-	grace             time.Duration // how long sends to a backend that drains may go on
+	sharedService     bool          // all instances request one service; else each has an agent of its own
+	staleAfterFailure time.Duration // after a failed request, how long until the list counts as stale; 0: never
+	grace             time.Duration // how long attempts at a draining backend are still allowed
 }
 
-// newRetryPolicy is the pace that the settings call for.
+// newRetryPolicy is the policy for a configuration.
 func newRetryPolicy(c Config) retryPolicy {
 	p := retryPolicy{sharedService: c.Settings.AskForList, staleAfterFailure: failedFactor * c.Conns.StaleAfter,
 		grace: c.Settings.DrainGrace}
-	if p.grace <= 0 { // not told
+	if p.grace <= 0 { // not in the settings
 		p.grace = 500 * time.Millisecond
 	}
 	return p
 }
 
-// failure is an ask that failed or a watch that ended.
+// failure is a failed request to discovery or a watch that ended.
 type failure struct {
 	err         error
-	consecutive int           // failures in a row, this one among them
-	hasList     bool          // a list has been heard before, by this process
-	slack       time.Duration // for how long an ask may yet be put off so that its answer comes within toldAfter of the last word
+	consecutive int           // failures in a row, this one included
+	hasList     bool          // this process has received a list
+	slack       time.Duration // how long a request can be put off and still be answered within stalenessBound
 }
 
 // pause is the pause after a failure, with full jitter.
@@ -50,7 +50,7 @@
 	return pause
 }
 
-// backOff is the longest pause after a failure at a service.
+// backOff is the longest pause after a failure at a service: exponential, unless the service is overloaded.
 func backOff(f failure) time.Duration {
 	var refusal *statusError
 	busy := errors.As(f.err, &refusal) && refusal.took < fastRefusal
@@ -67,7 +67,7 @@
 	return min(retryBase<<min(f.consecutive-1, 10), longest)
 }
 
-// idleTimeout is how long a watch may say nothing.
+// idleTimeout is how long a watch may stay silent.
 func (p retryPolicy) idleTimeout() time.Duration {
 	if p.sharedService {
 		return serviceIdleTimeout
@@ -75,7 +75,8 @@
 	return agentIdleTimeout
 }
 
-// responseTimeout is how long an ask may take until something is heard: an agent is quick, a service answers in turn.
+// responseTimeout is how long a request may take until the first byte of its response: an agent responds at once, a
+// service from a queue.
 func (p retryPolicy) responseTimeout() time.Duration {
 	if p.sharedService {
 		return serviceIdleTimeout
--- a/internal/frontdoor/pace_test.go
+++ b/internal/frontdoor/pace_test.go
@@ -12,16 +12,16 @@
 	"herontiller/internal/gateway"
 )
 
-// One hiccup ends the watches of all doors at once. Discovery must be able to answer them all soon, though it takes
-// 70 ms over each ask and refuses those at once that would have to wait for longer than 2 s.
-func TestDoorsComeBackToDiscoveryOneByOne(t *testing.T) {
+// One hiccup ends the watches of all instances at once. Discovery must be able to answer them all soon, though it takes
+// 70 ms over each request and refuses those at once that would have to wait for longer than 2 s.
+func TestInstancesReturnToDiscoveryOneByOne(t *testing.T) {
 	const doors, each, patience, length = 80, 70 * time.Millisecond, 2 * time.Second, 15 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithTimeout(t.Context(), length)
 		defer stop()
 		start := time.Now()
 		var mu sync.Mutex
-		free := start.Add(patience) // the first asks have just come, all together, and failed
+		free := start.Add(patience) // the first requests have just come, all together, and failed
 		back, last, asks := 0, time.Duration(0), 0
 		busy := func(first bool) roundTrip {
 			return func(r *http.Request) (*http.Response, error) {
@@ -100,10 +100,10 @@
 	}
 }
 
-// A front door that starts with an old list of a large fleet has DrainGrace to learn which of its backends drain, where
-// an agent of its own machine can tell it: it asks before anything else can happen, and again soon if that failed. The
-// same holds from the moment on in which an agent that was silent answers again.
-func TestAnAgentIsAskedAtOnce(t *testing.T) {
+// An instance that starts with an old list of a large fleet has DrainGrace to learn which of its backends drain, where
+// an agent of its own machine knows it: it sends a request before anything else can happen, and again soon if that
+// failed. The same holds from the moment on in which an agent that was silent answers again.
+func TestAnAgentIsRequestedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 		defer stop()
--- a/internal/frontdoor/pool.go
+++ b/internal/frontdoor/pool.go
@@ -12,29 +12,30 @@
 	"time"
 )
 
-// reuseCooldown is how long a connection rests after an answer before the next request may use it: a second answer may come
-// some milliseconds behind the first, and read as the next request's it would be served as such. Anything that has come
-// by then marks the connection as unclean. It is the slack that the protocol adds to each of its time limits; a door
-// sends a backend some requests a second, so few find all connections at rest.
+// reuseCooldown is the quarantine of a connection after a response, before the next request may use it. A stray
+// second response may arrive some milliseconds behind the first and would be served as the next request's; any byte
+// that arrives within the cooldown marks the connection as unclean. The value is the tolerance that the protocol
+// adds to each of its time limits. An instance sends a backend a few requests a second, so it rarely finds all
+// connections in cooldown.
 const reuseCooldown = 50 * time.Millisecond
 
-var errPoolFull = errors.New("as many connections as may be are in use")
+var errPoolFull = errors.New("the limit of connections to backends is reached")
 
-// pool bounds the connections to all backends together and keeps idle ones for the next request. It never hands
-// out one on which something has come, as that would be read as the next request's answer.
+// pool bounds the connections to all backends together and keeps idle ones for reuse. It never hands out a
+// connection on which data has arrived while it was idle, as that would be read as the next request's response.
 type pool struct {
 	dial    func(ctx context.Context, network, addr string) (net.Conn, error)
 	maxOpen int
 	maxIdle time.Duration
 
 	mu       sync.Mutex
-	open     int        // idle, in use or coming up
-	idle     *list.List // of *kept, over all places, the longest idle first
+	open     int        // idle, in use or being established
+	idle     *list.List // of *pooledConn, over all endpoints, the longest idle first
 	sweeping bool
 }
 
-// endpointPool is where connections of one backend's process at one address are kept. What belongs to another process
-// or another backend, if only at the same address, has a place of its own.
+// endpointPool holds the idle connections to one process of a backend at one address. Another process or another
+// backend, even at the same address, has an endpointPool of its own.
 type endpointPool struct {
 	addr   string
 	idle   []*pooledConn // guarded by pool.mu, as closed is; the longest idle first
@@ -49,7 +50,7 @@
 	r         *bufio.Reader
 	idleSince time.Time     // when it became idle
 	elem      *list.Element // in pool.idle
-	hasServed bool          // it has carried an answer
+	hasServed bool          // a response has been read on it
 }
 
 func newPool(dial func(ctx context.Context, network, addr string) (net.Conn, error), maxOpen int,
@@ -57,7 +58,7 @@
 	return &pool{dial: dial, maxOpen: maxOpen, maxIdle: maxIdle, idle: list.New()}
 }
 
-// get gives a clean connection, a kept one if there is one and fresh does not forbid it.
+// get returns a clean connection to an endpoint: an idle one if there is one and fresh is not set, else a new one.
 func (p *pool) get(ctx context.Context, endpoint *endpointPool, fresh bool) (*pooledConn, error) {
 	c, err := p.reserve(endpoint, fresh)
 	if c != nil || err != nil {
@@ -76,7 +77,8 @@
 	return c, nil
 }
 
-// reserve takes a kept connection, or else, with nil, counts one that is to be opened.
+// reserve takes an idle connection. Where there is none it returns nil and counts a new one, which the caller must
+// open; at the limit it closes the longest idle connection for it, and fails with errPoolFull if none is idle.
 func (p *pool) reserve(endpoint *endpointPool, fresh bool) (*pooledConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,7 +106,7 @@
 	return nil, nil
 }
 
-// put keeps a connection whose answer has been read whole, if it is clean.
+// put returns a connection whose response has been read whole. One that is not clean is closed.
 func (p *pool) put(c *pooledConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,7 +130,7 @@
 	p.closeLocked(c)
 }
 
-// closeEndpoint ends a place: its idle connections now, those in use when they come back.
+// closeEndpoint closes the idle connections of an endpoint now, and those in use when they are returned.
 func (p *pool) closeEndpoint(endpoint *endpointPool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,7 +142,7 @@
 	}
 }
 
-// sweep closes what has been idle for too long, and comes again while anything is idle.
+// sweep closes the connections that have been idle for maxIdle, and schedules itself again while any is idle.
 func (p *pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -156,19 +158,21 @@
 	p.sweeping = false
 }
 
+// removeIdle takes a connection off the idle lists. The caller holds the lock.
 func (p *pool) removeIdle(c *pooledConn) {
 	p.idle.Remove(c.elem)
 	c.endpoint.idle = slices.DeleteFunc(c.endpoint.idle, func(o *pooledConn) bool { return o == c })
 }
 
+// closeLocked closes a connection that is on no idle list. The caller holds the lock.
 func (p *pool) closeLocked(c *pooledConn) {
 	c.Close()
 	p.open--
 }
 
-var errTooLarge = errors.New("the answer is larger than answers may be")
+var errTooLarge = errors.New("the response is larger than allowed")
 
-// limitedReader is a reader that gives out only so much.
+// limitedReader reads at most remaining bytes, and fails with errTooLarge beyond.
 type limitedReader struct {
 	r         io.Reader
 	remaining int
--- a/internal/frontdoor/responses.go
+++ b/internal/frontdoor/responses.go
@@ -15,19 +15,19 @@
 )
 
 var (
-	errConnClosed     = errors.New("the connection ended before an answer")
-	errNoLength       = errors.New("the answer does not tell its length")
-	errProtocolSwitch = errors.New("the answer switches protocols")
+	errConnClosed     = errors.New("the connection ended before a response")
+	errNoLength       = errors.New("the response does not state its length")
+	errProtocolSwitch = errors.New("the response switches protocols")
 )
 
-// read takes in a whole answer, and tells whether the backend leaves the connection open. An error means that
-// there was no answer that can be used.
+// read reads a whole response into r, and reports whether the backend keeps the connection open. An error means that
+// there was no usable response: errConnClosed if there was none at all, another one if it was malformed or too large.
 func (b *Backends) read(ctx context.Context, c *pooledConn, m *message, r *reply) (keep bool, err error) {
 	c.limit.remaining = maxResponseHead
 	if _, err := c.r.Peek(1); err != nil {
 		return false, fmt.Errorf("%w: %w", errConnClosed, err)
 	}
-	// The context's end may have set a deadline already, which this must not undo.
+	// The end of ctx may have set a deadline already, which this must not undo.
 	c.SetReadDeadline(time.Now().Add(responseTimeout))
 	if err := ctx.Err(); err != nil {
 		return false, err
@@ -59,9 +59,9 @@
 	return !res.Close, nil
 }
 
-// readResponseBody reads an answer's body. One that only the connection's end would end can't be told from a cut one.
+// readResponseBody reads a body. One delimited by the connection's end can't be distinguished from a truncated one.
 func readResponseBody(c *pooledConn, res *http.Response) ([]byte, error) {
-	c.limit.remaining = 2 * maxBody // chunks take more room than what is in them
+	c.limit.remaining = 2 * maxBody // chunks take more bytes than their content
 	switch {
 	case res.StatusCode == http.StatusSwitchingProtocols:
 		return nil, errProtocolSwitch
@@ -81,7 +81,8 @@
 	return body, err
 }
 
-// parseLoad reads a load report such as "queue=2,qps=31"; nil if it does not hold all that the settings name.
+// parseLoad reads a load report such as "queue=2,qps=31"; nil unless it has a valid figure for all that the settings
+// name.
 func (b *Backends) parseLoad(text string) []float64 {
 	if text == "" || len(b.loadColumns) == 0 {
 		return nil
