--- a/internal/frontdoor/attempts_test.go
+++ b/internal/frontdoor/attempts_test.go
@@ -233,7 +233,7 @@
 		t.Fatal("the write went on after its request had ended")
 	}
 	if _, err := near.Conn.Write([]byte("x")); err == nil {
-		t.Error("the connection is open when the outcome is told")
+		t.Error("the connection is open when the outcome is reported")
 	}
 	(<-far).Close()
 }
--- a/internal/frontdoor/backends_failure_test.go
+++ b/internal/frontdoor/backends_failure_test.go
@@ -99,7 +99,7 @@
 		t.Errorf("20 backends had %d ids and %d connections", len(ids), len(conns))
 	}
 	if len(b.byHost) != 1 || len(b.byID) != 1 || b.pool.open != 1 || b.pool.idle.Len() != 1 {
-		t.Errorf("kept: %d hosts, %d ids, %d connections", len(b.byHost), len(b.byID), b.pool.open)
+		t.Errorf("held: %d hosts, %d ids, %d connections", len(b.byHost), len(b.byID), b.pool.open)
 	}
 }
 
@@ -119,10 +119,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var silent atomic.Bool
-			var asked atomic.Int64 // attempts since then
+			var requested atomic.Int64 // attempts since then
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				io.Copy(io.Discard, r.Body)
-				if silent.Load() && asked.Add(1) == 1 {
+				if silent.Load() && requested.Add(1) == 1 {
 					<-r.Context().Done()
 					return
 				}
@@ -152,8 +152,8 @@
 			if got := res.StatusCode == http.StatusOK && body == "ok"; got != c.served {
 				t.Errorf("answered %d %q, served: want %v", res.StatusCode, body, c.served)
 			}
-			if want := int64(1 + b2i(c.served)); asked.Load() != want {
-				t.Errorf("%d attempts were made, want %d", asked.Load(), want)
+			if want := int64(1 + b2i(c.served)); requested.Load() != want {
+				t.Errorf("%d attempts were made, want %d", requested.Load(), want)
 			}
 		})
 	}
@@ -215,9 +215,9 @@
 // quota, by its own count and by every reading, must not be refused for that.
 func TestReadingsOutOfOrderRefuseNobody(t *testing.T) {
 	t.Parallel()
-	var asked atomic.Int64
+	var requested atomic.Int64
 	d := startInstance(t, nil, serve(t, func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set("X-RateLimit-Used", fmt.Sprint(40+asked.Add(1)%2))
+		w.Header().Set("X-RateLimit-Used", fmt.Sprint(40+requested.Add(1)%2))
 		io.WriteString(w, "ok")
 	}))
 	pace := time.NewTicker(260 * time.Millisecond) // a little over half the meter's period
--- a/internal/frontdoor/backends_test.go
+++ b/internal/frontdoor/backends_test.go
@@ -83,15 +83,15 @@
 		answer func(int, net.Conn)
 		want   gateway.Result
 	}{
-		"served":               {reply(200), gateway.Answered},
-		"error":                {reply(500), gateway.AnsweredErr},
-		"not found":            {reply(404), gateway.AnsweredErr},
-		"turned away with 503": {reply(503, "Not-Started", "1"), gateway.Refused},
-		"turned away with 504": {reply(504, "Not-Started", "1"), gateway.Refused},
-		"503 without proof":    {reply(503), gateway.AnsweredErr},
-		"504 that denies it":   {reply(504, "Not-Started", "0"), gateway.AnsweredErr},
-		"500 never proves it":  {reply(500, "Not-Started", "1"), gateway.AnsweredErr},
-		"connection ends":      {text(""), gateway.Broken},
+		"served":              {reply(200), gateway.Answered},
+		"error":               {reply(500), gateway.AnsweredErr},
+		"not found":           {reply(404), gateway.AnsweredErr},
+		"rejected with 503":   {reply(503, "Not-Started", "1"), gateway.Refused},
+		"rejected with 504":   {reply(504, "Not-Started", "1"), gateway.Refused},
+		"503 without proof":   {reply(503), gateway.AnsweredErr},
+		"504 that denies it":  {reply(504, "Not-Started", "0"), gateway.AnsweredErr},
+		"500 never proves it": {reply(500, "Not-Started", "1"), gateway.AnsweredErr},
+		"connection ends":     {text(""), gateway.Broken},
 		"connection reset": {func(_ int, conn net.Conn) {
 			conn.(*net.TCPConn).SetLinger(0)
 			conn.Close()
--- a/internal/frontdoor/clients_test.go
+++ b/internal/frontdoor/clients_test.go
@@ -93,7 +93,7 @@
 			t.Errorf("%s: %s, want %d", name, res.Status, c.status)
 		}
 		if len(g.received) > 0 {
-			t.Errorf("%s: the gateway heard %+v", name, <-g.received)
+			t.Errorf("%s: the gateway received %+v", name, <-g.received)
 		}
 		d.stop()
 	}
@@ -121,7 +121,7 @@
 		t.Errorf("%s, want the last moment's answer", res.Status)
 	}
 	if req := next[gateway.Request](t, g); req.Patience <= 0 || req.Patience > 500*time.Millisecond-gatewayMargin {
-		t.Errorf("the gateway was told of %v", req.Patience)
+		t.Errorf("the gateway was given %v", req.Patience)
 	}
 	next[gateway.ClientGone](t, g)
 }
--- a/internal/frontdoor/conns_test.go
+++ b/internal/frontdoor/conns_test.go
@@ -85,7 +85,7 @@
 // A request that comes in pieces has begun when its first piece has been read, though the server still takes its
 // connection for a silent one. Closing that to make room would lose the request, be it the connection's first or not.
 func TestARequestInPiecesIsNoSilence(t *testing.T) {
-	for name, before := range map[string]int{"on a new connection": 0, "on a kept connection": 1} {
+	for name, before := range map[string]int{"on a new connection": 0, "on an idle connection": 1} {
 		t.Run(name, func(t *testing.T) {
 			g := script(func(ev gateway.Event) []gateway.Action {
 				if r, ok := ev.(gateway.Request); ok {
@@ -197,7 +197,7 @@
 		<-ends
 	}
 	if len(g.received) > 0 {
-		t.Errorf("the gateway heard %+v", <-g.received)
+		t.Errorf("the gateway received %+v", <-g.received)
 	}
 }
 
@@ -217,7 +217,7 @@
 		}
 	}
 	if len(g.received) > 0 {
-		t.Errorf("the gateway heard %+v", <-g.received)
+		t.Errorf("the gateway received %+v", <-g.received)
 	}
 }
 
--- a/internal/frontdoor/crossing_test.go
+++ b/internal/frontdoor/crossing_test.go
@@ -33,7 +33,7 @@
 				}
 				io.WriteString(conn, first)
 				if id := next[gateway.Request](t, g).ID; id != 0xa1 {
-					t.Fatalf("the gateway heard of %x first", id)
+					t.Fatalf("the gateway was notified of %x first", id)
 				}
 				io.WriteString(conn, second)
 				leave(conn)
@@ -46,7 +46,7 @@
 				}
 				for len(g.received) > 0 {
 					if r, ok := (<-g.received).(gateway.Request); ok {
-						t.Errorf("request %x was begun after its client had left", r.ID)
+						t.Errorf("request %x was begun after its client had disconnected", r.ID)
 					}
 				}
 			})
--- a/internal/frontdoor/discovery_test.go
+++ b/internal/frontdoor/discovery_test.go
@@ -23,11 +23,11 @@
 // A watch that is silent, ends or says what cannot be read is given up, and the next one requests from the version
 // that was received last: nothing that discovery sent may be lost on the way, a drain least of all.
 func TestWatchGoesOnWhereItWas(t *testing.T) {
-	asked := make(chan string, 10)
+	requested := make(chan string, 10)
 	n := 0
 	addr := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		n++
-		asked <- r.URL.RawQuery
+		requested <- r.URL.RawQuery
 		switch n {
 		case 1:
 			fmt.Fprintf(w, `{"seq":42,"whole":true,"hosts":[`+entry+"]}\n", 7, "Ready")
@@ -50,12 +50,12 @@
 		cancel()
 	}
 	for i, want := range []string{"watch=1&from=41", "watch=1&from=42", "watch=1&from=42"} {
-		if got := <-asked; got != want {
-			t.Errorf("watch %d asked %q, want %q", i+1, got, want)
+		if got := <-requested; got != want {
+			t.Errorf("watch %d requested %q, want %q", i+1, got, want)
 		}
 	}
 	if a, b := <-lists, <-lists; !a.Whole || a.Hosts[0].Block != 3 || b.Hosts[0].Health != "Terminating" {
-		t.Errorf("heard %+v and %+v", a, b)
+		t.Errorf("received %+v and %+v", a, b)
 	}
 }
 
@@ -119,18 +119,18 @@
 // changes, from its own version on. The same holds where one discovery's versions go back.
 func TestAMoveTakesTheWholeList(t *testing.T) {
 	discovery := func(answer func(r *http.Request) string) (string, chan string) {
-		asked := make(chan string, 10)
+		requested := make(chan string, 10)
 		return serve(t, func(w http.ResponseWriter, r *http.Request) {
-			asked <- r.URL.RequestURI()
+			requested <- r.URL.RequestURI()
 			fmt.Fprintln(w, answer(r))
 			if r.URL.RawQuery != "" {
 				w.(http.Flusher).Flush()
 				<-r.Context().Done()
 			}
-		}), asked
+		}), requested
 	}
-	first, askedFirst := discovery(func(*http.Request) string { return `{"seq":900,"whole":false,"hosts":[]}` })
-	second, askedSecond := discovery(func(r *http.Request) string {
+	first, requestedFirst := discovery(func(*http.Request) string { return `{"seq":900,"whole":false,"hosts":[]}` })
+	second, requestedSecond := discovery(func(r *http.Request) string {
 		if r.URL.RawQuery == "watch=1&from=7" {
 			return `{"seq":2,"whole":false,"hosts":[]}` // it has begun anew
 		}
@@ -144,20 +144,20 @@
 		Follow(ctx, c, moves, func(l EndpointList) { lists <- l })
 		close(ended)
 	}()
-	if got := <-askedFirst; got != "/v1/endpoints?watch=1&from=800" {
-		t.Errorf("the first was asked for %s", got)
+	if got := <-requestedFirst; got != "/v1/endpoints?watch=1&from=800" {
+		t.Errorf("the first received a request for %s", got)
 	}
 	if l := <-lists; l.Seq != 900 {
-		t.Errorf("the first told %+v", l)
+		t.Errorf("the first sent %+v", l)
 	}
 	moves <- second
 	for i, want := range []string{"/v1/endpoints", "/v1/endpoints?watch=1&from=7", "/v1/endpoints"} {
-		if got := <-askedSecond; got != want {
+		if got := <-requestedSecond; got != want {
 			t.Errorf("question %d to the second was %s, want %s", i+1, got, want)
 		}
 	}
 	if l := <-lists; l.Seq != 7 || !l.Whole {
-		t.Errorf("the second told %+v", l)
+		t.Errorf("the second sent %+v", l)
 	}
 	cancel()
 	<-ended
@@ -261,8 +261,8 @@
 // request.
 func TestAChangeIsKnownInTime(t *testing.T) {
 	agent := Config{Settings: gateway.Settings{FrontDoors: 350, DrainGrace: 500 * time.Millisecond}}
-	service := func(doors int) Config {
-		return Config{Settings: gateway.Settings{FrontDoors: doors, DrainGrace: 500 * time.Millisecond, AskForList: true}}
+	service := func(instances int) Config {
+		return Config{Settings: gateway.Settings{FrontDoors: instances, DrainGrace: 500 * time.Millisecond, AskForList: true}}
 	}
 	for _, c := range []struct {
 		name   string
@@ -275,7 +275,7 @@
 		{"a silent watch, refusals and breaks", agent, false, []response{goesQuiet, refuses, resets, unheard, refuses, resets}},
 		{"a silent watch, then a list that drips", agent, false, []response{goesQuiet, drips}},
 		{"a start at an agent that is silent twice", agent, false, []response{unheard, unheard, headOnly}},
-		{"a move in the middle of an ask", agent, true, []response{unheard, refuses, headOnly}},
+		{"a move in the middle of a request", agent, true, []response{unheard, refuses, headOnly}},
 		{"a move and a whole list that drips", agent, true, []response{unheard, drips, resets}},
 		{"a silent watch of a service", service(4), false, []response{goesQuiet}},
 		{"a silent watch of a service that then refuses", service(30), false, []response{goesQuiet, refuses}},
@@ -343,10 +343,10 @@
 // Moves that come while a request is out, twice in a row, and to an address that says nothing, leave the last one
 // followed: what the ones before still say is dropped.
 func TestMovesInTheMiddleOfARequest(t *testing.T) {
-	asked := make(chan string, 100)
+	requested := make(chan string, 100)
 	silent := func(name string) string {
 		return serve(t, func(_ http.ResponseWriter, r *http.Request) {
-			asked <- name
+			requested <- name
 			<-r.Context().Done()
 		})
 	}
@@ -365,15 +365,15 @@
 		Follow(ctx, Config{Discovery: silent("first")}, moves, func(l EndpointList) { lists <- l })
 		close(ended)
 	}()
-	if got := <-asked; got != "first" {
-		t.Errorf("%s was asked", got)
+	if got := <-requested; got != "first" {
+		t.Errorf("%s received a request", got)
 	}
 	moves <- silent("second")
-	for got := "first"; got == "first"; got = <-asked { // it may have been asked again before the move
+	for got := "first"; got == "first"; got = <-requested { // it may have been asked again before the move
 	}
 	moves <- last
 	if l := <-lists; l.Seq != 5 || !l.Whole || len(l.Hosts) != 1 || l.Hosts[0].Health != "Terminating" {
-		t.Errorf("the last told %+v", l)
+		t.Errorf("the last sent %+v", l)
 	}
 	cancel()
 	<-ended
--- a/internal/frontdoor/fleet_discovery_test.go
+++ b/internal/frontdoor/fleet_discovery_test.go
@@ -59,8 +59,8 @@
 	d.cut()
 }
 
-// turn takes a position in the queue, if there is one.
-func (d *busyDiscovery) turn() (wait time.Duration, up context.Context, err error) {
+// enqueue takes a position in the queue, if there is one.
+func (d *busyDiscovery) enqueue() (wait time.Duration, up context.Context, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
@@ -81,7 +81,7 @@
 
 func (d *busyDiscovery) RoundTrip(r *http.Request) (*http.Response, error) {
 	refusal := &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}
-	wait, up, err := d.turn()
+	wait, up, err := d.enqueue()
 	switch {
 	case err != nil && d.holds && sleep(r.Context(), maxQueueWait):
 		return refusal, nil
@@ -155,7 +155,7 @@
 		}
 	}
 	if count > 0 {
-		t.Errorf("%s: %d of %d have heard nothing in the %v since", what, count, len(fleet), time.Since(after))
+		t.Errorf("%s: %d of %d have received nothing in the %v since", what, count, len(fleet), time.Since(after))
 	}
 }
 
@@ -323,15 +323,15 @@
 			time.Sleep(agentIdleTimeout / 10)
 		}
 	})
-	var heard []EndpointList
-	f := newFollower(&http.Transport{}, prompt, addr, 5, func(l EndpointList) { heard = append(heard, l) })
+	var received []EndpointList
+	f := newFollower(&http.Transport{}, prompt, addr, 5, func(l EndpointList) { received = append(received, l) })
 	err := f.watch(t.Context())
-	if len(heard) != 3 {
-		t.Fatalf("heard %+v, ended with %v", heard, err)
+	if len(received) != 3 {
+		t.Fatalf("received %+v, ended with %v", received, err)
 	}
-	for _, l := range heard {
+	for _, l := range received {
 		if l.Seq != 7 || l.Whole || len(l.Hosts) != 0 {
-			t.Errorf("heard %+v", l)
+			t.Errorf("received %+v", l)
 		}
 	}
 }
--- a/internal/frontdoor/frontdoor_test.go
+++ b/internal/frontdoor/frontdoor_test.go
@@ -199,7 +199,7 @@
 				return e
 			}
 		case <-timeout:
-			t.Fatalf("no %T was heard", *new(E))
+			t.Fatalf("no %T was received", *new(E))
 		}
 	}
 }
--- a/internal/frontdoor/lease_test.go
+++ b/internal/frontdoor/lease_test.go
@@ -48,7 +48,7 @@
 		t.Error("not ready with a list")
 	}
 	if a := ask(2); a.kind != served {
-		t.Errorf("by a list that discovery told: %+v", a)
+		t.Errorf("by a list that discovery sent: %+v", a)
 	}
 }
 
--- a/internal/frontdoor/pace_test.go
+++ b/internal/frontdoor/pace_test.go
@@ -108,20 +108,20 @@
 		ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 		defer stop()
 		start := time.Now()
-		var asked []time.Duration
+		var requested []time.Duration
 		silent := roundTrip(func(r *http.Request) (*http.Response, error) {
-			asked = append(asked, time.Since(start))
+			requested = append(requested, time.Since(start))
 			<-r.Context().Done()
 			return nil, r.Context().Err()
 		})
 		const grace = 400 * time.Millisecond
 		p := newRetryPolicy(Config{Settings: gateway.Settings{FrontDoors: 300, DrainGrace: grace}})
 		newFollower(silent, p, "agent", 1, func(EndpointList) {}).keepWatching(ctx)
-		if len(asked) == 0 || asked[0] > 0 {
-			t.Fatalf("asked first at %v", asked)
+		if len(requested) == 0 || requested[0] > 0 {
+			t.Fatalf("asked first at %v", requested)
 		}
-		for i, at := range asked[1:] {
-			if gap := at - asked[i]; gap >= grace {
+		for i, at := range requested[1:] {
+			if gap := at - requested[i]; gap >= grace {
 				t.Errorf("a silent agent was asked again after %v", gap)
 			}
 		}
