--- a/internal/frontdoor/attempts_test.go
+++ b/internal/frontdoor/attempts_test.go
@@ -13,7 +13,7 @@
 
 // The tests of this file make an attempt cross with the end of its request, every time.
 
-// gatedDials lets the test hold connections while they come up. Each is told of on dialing.
+// gatedDials lets the test hold connections while they come up. Each is announced on dialing.
 func gatedDials(b *Backends) (dialing chan bool, goOn chan bool) {
 	dialing, goOn = make(chan bool, 1), make(chan bool)
 	dial := b.pool.dial
@@ -25,14 +25,15 @@
 	return dialing, goOn
 }
 
-// A request whose client leaves while its connection to the backend comes up is not sent on, also where the settings
-// allow no cancel, as nothing has been sent that could be cancelled. Neither is one that has its final answer.
-func TestNothingIsSentOnOnceItsClientHasLeft(t *testing.T) {
+// A request whose client disconnects while its connection to the backend comes up is not sent on, also where the
+// settings allow no cancel, as nothing has been sent that could be cancelled. Neither is one that has its final
+// answer.
+func TestNothingIsSentOnceItsClientHasDisconnected(t *testing.T) {
 	for how, leave := range leaving {
 		t.Run(how, func(t *testing.T) {
 			got := make(chan int, 1)
 			g := script(sendTo(1)) // and never a Cancel
-			d := openDoor(t, g, listen(t), raw(t, func(n int, _ net.Conn) { got <- n }))
+			d := serveInstance(t, g, listen(t), raw(t, func(n int, _ net.Conn) { got <- n }))
 			dialing, goOn := gatedDials(d.loop.backends)
 			conn := dialAll(t, d.addr, 1)[0]
 			io.WriteString(conn, d.text(t, "pay", "00000000000000a1"))
@@ -50,9 +51,9 @@
 	}
 }
 
-// deafDoor is a listener whose connections never tell the server's watch that the client has left, as if the process did
-// not come to it: a watch reads into a buffer of its own size.
-type deafDoor struct {
+// deafListener is a listener whose connections never notify the server's watch that the client has disconnected, as if
+// the process did not come to it: a watch reads into a buffer of its own size.
+type deafListener struct {
 	*net.TCPListener
 	conns chan net.Conn
 	end   chan bool
@@ -63,7 +64,7 @@
 	end chan bool
 }
 
-func (l *deafDoor) Accept() (net.Conn, error) {
+func (l *deafListener) Accept() (net.Conn, error) {
 	c, err := l.TCPListener.Accept()
 	if err != nil {
 		return nil, err
@@ -73,15 +74,16 @@
 }
 
 func (c *deafConn) Read(p []byte) (int, error) {
-	if len(p) == watchBuffer {
+	if len(p) == watchBufferSize {
 		<-c.end
 	}
 	return c.TCPConn.Read(p)
 }
 
-// An attempt, first or further, does not begin after its client has left, also while nobody has told the loop of that:
-// for a request that is held, that dials, or whose last attempt has just failed, and also where nothing may be cancelled.
-func TestNoAttemptBeginsBeforeTheLeavingIsHeard(t *testing.T) {
+// An attempt, first or further, does not begin after its client has disconnected, also while the loop has not been
+// notified of that: for a request that is held, that dials, or whose last attempt has just failed, and also where
+// nothing may be cancelled.
+func TestNoAttemptBeginsAfterADisconnection(t *testing.T) {
 	for how, leave := range leaving {
 		for _, when := range []string{"held", "dialling", "between attempts"} {
 			t.Run(how+" "+when, func(t *testing.T) {
@@ -106,9 +108,9 @@
 					}
 					return nil
 				})
-				ln := &deafDoor{listen(t), make(chan net.Conn, 1), make(chan bool)}
+				ln := &deafListener{listen(t), make(chan net.Conn, 1), make(chan bool)}
 				defer close(ln.end)
-				d := openDoor(t, g, ln, addr)
+				d := serveInstance(t, g, ln, addr)
 				dialing, goOn := gatedDials(d.loop.backends)
 				conn := dialAll(t, d.addr, 1)[0]
 				near := <-ln.conns
@@ -123,7 +125,7 @@
 					<-began
 				}
 				leave(conn)
-				for end := time.Now().Add(patient); pending(near) != ended; {
+				for end := time.Now().Add(patient); peekSocket(near) != peerClosed; {
 					if time.Now().After(end) {
 						t.Fatal("the leaving was never to be seen")
 					}
@@ -169,7 +171,7 @@
 		}
 		return nil
 	})
-	d := openDoor(t, g, listen(t), raw(t, func(n int, _ net.Conn) { got <- n }))
+	d := serveInstance(t, g, listen(t), raw(t, func(n int, _ net.Conn) { got <- n }))
 	conn := dialAll(t, d.addr, 1)[0]
 	io.WriteString(conn, d.text(t, "pay", "00000000000000a1"))
 	if out := next[gateway.Outcome](t, g); out.Result != gateway.NotSent || out.Final {
@@ -196,8 +198,8 @@
 	}
 }
 
-// A write that blocks ends with its attempt, and the connection is closed before the attempt's outcome is told: what
-// the gateway sends next can't meet it.
+// A write that blocks ends with its attempt, and the connection is closed before the attempt's outcome is reported:
+// what the gateway sends next can't meet it.
 func TestABlockedWriteEndsWithItsAttempt(t *testing.T) {
 	ln := listen(t)
 	far := make(chan net.Conn, 1)
@@ -231,7 +233,7 @@
 		t.Fatal("the write went on after its request had ended")
 	}
 	if _, err := near.Conn.Write([]byte("x")); err == nil {
-		t.Error("the connection is open when the outcome is told")
+		t.Error("the connection is open when the outcome is reported")
 	}
 	(<-far).Close()
 }
@@ -256,13 +258,13 @@
 		}
 		return nil
 	})
-	d := openDoor(t, g, listen(t), addr)
+	d := serveInstance(t, g, listen(t), addr)
 	conn := dialAll(t, d.addr, 1)[0]
 	io.WriteString(conn, d.text(t, "look", "00000000000000a1"))
 	first := <-read
 	d.loop.post(gateway.Timer{})
 	<-read // the next one's bytes have come
-	for end := time.Now().Add(patient); pending(first) != ended; {
+	for end := time.Now().Add(patient); peekSocket(first) != peerClosed; {
 		if time.Now().After(end) {
 			t.Fatal("the first attempt's connection is open")
 		}
@@ -288,11 +290,11 @@
 			t.Fatalf("the first was answered %q", r.body)
 		}
 		b.mu.Lock()
-		at := b.byID[id].place
+		at := b.byID[id].endpoint
 		b.mu.Unlock()
 		b.pool.mu.Lock()
 		answered := time.Now().Add(-10 * time.Millisecond)
-		at.idle[0].since = answered
+		at.idle[0].idleSince = answered
 		b.pool.mu.Unlock()
 		r := b.send(t.Context(), t.Context(), id, lookMessage)
 		if time.Since(answered) > 40*time.Millisecond {
--- a/internal/frontdoor/backends.go
+++ b/internal/frontdoor/backends.go
@@ -4,10 +4,8 @@
 	"bytes"
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"log/slog"
-	"math"
 	"net"
 	"net/http"
 	"net/url"
@@ -23,83 +21,84 @@
 )
 
 const (
-	maxBody      = 64 << 10 // the protocol's most for a body
+	maxBody      = 64 << 10 // bytes, the protocol's limit
 	probeTimeout = time.Second
-	// A kept connection is dropped when it has been idle for this share of the time after which the backend
-	// may close it: a request that crosses the close may have run.
-	idleShare = 0.6
-	// An answer that has begun and does not end within answerTime is a spoilt one: backends write theirs at once.
-	answerTime = 500 * time.Millisecond
-	maxHead    = 16 << 10 // of an answer, 1xx answers ahead of it among it
-	maxUse     = 10_000   // percent; a figure over it is no customer's use
+	// A pooled connection is closed after this fraction of the idle time at which the backend may close it: a request
+	// that crosses the backend's close may have run.
+	idleFraction = 0.6
+	// A response that has begun and is not complete within responseTimeout is malformed: backends write theirs at once.
+	responseTimeout = 500 * time.Millisecond
+	maxResponseHead = 16 << 10 // bytes of a response, preceding 1xx responses included
+	maxUsagePercent = 10_000   // percent of the quota; a higher figure is invalid
 )
 
-// message is a client's request as it goes on to a backend, with each attempt.
+// message is a client's request as each attempt sends it to a backend.
 type message struct {
-	method string
-	target string // path and query as they came
-	host   string
-	header http.Header
-	body   []byte
-	left   func() bool // tells whether its client has left, and ends the request if so; nil: nobody can leave
+	method       string
+	target       string // path and query as received
+	host         string
+	header       http.Header
+	body         []byte
+	disconnected func() bool // reports whether the client has disconnected, and then ends the request; nil: no client
 }
 
-// unwanted tells whether a request must not go on any more.
-func (m *message) unwanted(unsent context.Context) bool {
-	return unsent.Err() != nil || m.left != nil && m.left()
+// cancelled reports whether an attempt must not be sent any more.
+func (m *message) cancelled(unsent context.Context) bool {
+	return unsent.Err() != nil || m.disconnected != nil && m.disconnected()
 }
 
-// reply is how an attempt ended and, if it was answered, with what.
+// reply is how an attempt ended and, if there was a response, what it held.
 type reply struct {
 	result      gateway.Result
 	contentType []string
 	body        []byte
-	hasUse      bool
-	use         float64
+	hasUsage    bool
+	usage       float64
 	load        []float64
 }
 
 // backend is one entry of the list of backends. Its fields other than id are guarded by Backends.mu.
 type backend struct {
-	id    gateway.BackendID
-	born  int64
-	state gateway.BackendState
-	place *place
+	id        gateway.BackendID
+	startedMS int64
+	state     gateway.BackendState
+	endpoint  *endpointPool
 }
 
-// Backends sends attempts to the backends that discovery has named, over kept connections.
+// Backends sends attempts to the backends that discovery has listed, over pooled connections.
 type Backends struct {
-	pool     *pool
-	columns  []string // names of load figures as in the header, in the order of the settings
-	reports  bool     // there are load reports, so probes ask for one
-	faultLog rate.Sometimes
+	pool        *pool
+	loadColumns []string // names of load figures as in the header, in the order of the settings
+	loadReports bool     // the settings name load figures, so probes request them
+	failureLog  rate.Sometimes
 
 	mu     sync.Mutex
 	lastID gateway.BackendID
-	byHost map[string]*backend // until it is gone
+	byHost map[string]*backend // without those that are gone
 	byID   map[gateway.BackendID]*backend
 }
 
-// columnNames are the header's names for the settings' load figures.
+// columnNames maps the settings' names of load figures to the header's.
 var columnNames = map[string]string{"concurrent": "inflight", "depth": "queue", "load_share": "util",
 	"mean_ms": "latency_ms", "tps": "qps", "err_ps": "eps"}
 
-// NewBackends knows no backends yet.
+// NewBackends returns one that knows no backends yet.
 func NewBackends(c Config) *Backends {
 	dialer := &net.Dialer{Timeout: c.Conns.Connect, KeepAlive: -1}
-	b := &Backends{reports: len(c.Settings.LoadColumns) > 0, faultLog: rate.Sometimes{First: 10, Interval: time.Second},
-		pool:   newPool(dialer.DialContext, c.Limits.backendConns(), time.Duration(idleShare*float64(c.Conns.Idle))),
-		byHost: map[string]*backend{}, byID: map[gateway.BackendID]*backend{}}
+	b := &Backends{loadReports: len(c.Settings.LoadColumns) > 0,
+		failureLog: rate.Sometimes{First: 10, Interval: time.Second},
+		pool:       newPool(dialer.DialContext, c.Limits.backendConns(), time.Duration(idleFraction*float64(c.Conns.Idle))),
+		byHost:     map[string]*backend{}, byID: map[gateway.BackendID]*backend{}}
 	for _, name := range c.Settings.LoadColumns {
 		if short, ok := columnNames[name]; ok {
 			name = short
 		}
-		b.columns = append(b.columns, name)
+		b.loadColumns = append(b.loadColumns, name)
 	}
 	return b
 }
 
-// update applies news to the list and gives it in the gateway's form.
+// update applies a list, or changes to it, and returns it in the gateway's form.
 func (b *Backends) update(list EndpointList, c clock) []gateway.BackendInfo {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -113,19 +112,19 @@
 		be := b.byHost[e.Host]
 		if be == nil {
 			if states[e.Health] == gateway.Gone {
-				continue // never named, or forgotten
+				continue // never listed, or removed
 			}
 			b.lastID++
 			be = &backend{id: b.lastID}
 			b.byHost[e.Host], b.byID[be.id] = be, be
 		}
-		if be.place == nil || be.place.addr != e.Dial && e.Dial != "" || be.born != e.BornMS {
-			if be.place != nil {
-				b.pool.clear(be.place) // its connections lead to what was there before
+		if be.endpoint == nil || be.endpoint.addr != e.Dial && e.Dial != "" || be.startedMS != e.BornMS {
+			if be.endpoint != nil {
+				b.pool.closeEndpoint(be.endpoint) // its connections lead to the former process
 			}
-			be.place = &place{addr: e.Dial}
+			be.endpoint = &endpointPool{addr: e.Dial}
 		}
-		be.born, be.state = e.BornMS, states[e.Health]
+		be.startedMS, be.state = e.BornMS, states[e.Health]
 		infos = append(infos, gateway.BackendInfo{ID: be.id, State: be.state, Zone: e.Site, Kind: e.Class, Cell: e.Block,
 			Started: c.unixMilli(e.BornMS), Weight: e.Share})
 	}
@@ -135,51 +134,46 @@
 		}
 		return infos
 	}
-	for _, e := range list.Hosts { // changes must not cost a look at all backends
+	for _, e := range list.Hosts { // a change must not cost time for all backends
 		b.forgetGone(e.Host, b.byHost[e.Host])
 	}
 	return infos
 }
 
-// forgetGone forgets a backend that is gone. If it comes back it is a new one, to the gateway as well.
+// forgetGone removes a backend that is gone. If it is listed again, it is a new one, for the gateway as well.
 func (b *Backends) forgetGone(host string, be *backend) {
 	if be != nil && be.state == gateway.Gone {
-		b.pool.clear(be.place)
+		b.pool.closeEndpoint(be.endpoint)
 		delete(b.byHost, host)
 		delete(b.byID, be.id)
 	}
 }
 
-// ready gives the place of a backend that may be sent something now, else nil.
-func (b *Backends) ready(id gateway.BackendID) *place {
+// readyEndpoint returns the endpoint pool of a backend that may be sent attempts now, else nil.
+func (b *Backends) readyEndpoint(id gateway.BackendID) *endpointPool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if be := b.byID[id]; be != nil && be.state == gateway.Ready {
-		return be.place
+		return be.endpoint
 	}
 	return nil
 }
 
-// errStale ends an attempt that is no longer wanted where its connection leads.
-var errStale = errors.New("the backend may be sent nothing new")
+// errAttemptObsolete ends an attempt whose client has disconnected or whose backend must be sent nothing new.
+var errAttemptObsolete = errors.New("the backend may be sent nothing new")
 
-// send makes one attempt and tells how it ended. It never sends twice. unsent is of ctx, and may end before it: then
-// what has not been written whole by then is not sent any more.
+// send makes one attempt and returns how it ended. It never sends a request twice. unsent is a child of ctx and may end
+// first: a request that is not written whole by then is not sent.
 func (b *Backends) send(ctx, unsent context.Context, id gateway.BackendID, m *message) *reply {
 	r := &reply{result: gateway.NotSent}
-	at := b.ready(id)
-	if at == nil || unsent.Err() != nil {
+	endpoint := b.readyEndpoint(id)
+	if endpoint == nil || unsent.Err() != nil {
 		return r
 	}
-	c, err := b.write(ctx, unsent, id, at, m)
+	c, err := b.write(ctx, unsent, id, endpoint, m)
 	if err != nil {
-		if unsent.Err() == nil && !errors.Is(err, errStale) && !errors.Is(err, errFull) && !errors.Is(err, syscall.EMFILE) {
-			r.result = gateway.NoConnection
-		}
-		if context.Cause(ctx) == context.Canceled {
-			r.result = gateway.Cancelled
-		}
-		b.fault(at, err)
+		r.result = unsentResult(ctx, unsent, err)
+		b.logFailure(endpoint, err)
 		return r
 	}
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
@@ -187,65 +181,84 @@
 	if stop() && err == nil && keep {
 		b.pool.put(c)
 	} else {
-		b.pool.drop(c)
+		b.pool.close(c)
 	}
-	switch {
-	case err == nil:
+	if err == nil {
 		return r
+	}
+	r.result = failedResult(ctx, err)
+	if r.result == gateway.Broken || r.result == gateway.Unknown {
+		b.logFailure(endpoint, err)
+	}
+	return r
+}
+
+// unsentResult is the result of an attempt whose request could not be written whole. Only a failure of the backend's
+// counts as one: not the end of the attempt, nor a shortage of connections or descriptors here.
+func unsentResult(ctx, unsent context.Context, err error) gateway.Result {
+	switch {
 	case context.Cause(ctx) == context.Canceled:
-		r.result = gateway.Cancelled
-		return r
+		return gateway.Cancelled
+	case unsent.Err() != nil || errors.Is(err, errAttemptObsolete) || errors.Is(err, errPoolFull) ||
+		errors.Is(err, syscall.EMFILE):
+		return gateway.NotSent
+	}
+	return gateway.NoConnection
+}
+
+// failedResult is the result of an attempt that was sent and has no usable response.
+func failedResult(ctx context.Context, err error) gateway.Result {
+	switch {
+	case context.Cause(ctx) == context.Canceled:
+		return gateway.Cancelled
 	case ctx.Err() != nil:
-		r.result = gateway.TimedOut
-		return r
-	case errors.Is(err, errEnded):
-		r.result = gateway.Broken
-	default: // spoilt: the backend is as well as before, and the request may have run
-		r.result = gateway.Unknown
+		return gateway.TimedOut
+	case errors.Is(err, errConnClosed):
+		return gateway.Broken
 	}
-	b.fault(at, err)
-	return r
+	return gateway.Unknown // a malformed response: the backend is as well as before, and the request may have run
 }
 
-func (b *Backends) fault(at *place, err error) {
-	b.faultLog.Do(func() { slog.Warn("an attempt broke", "backend", at.addr, "err", err) })
+func (b *Backends) logFailure(endpoint *endpointPool, err error) {
+	b.failureLog.Do(func() { slog.Warn("an attempt failed", "backend", endpoint.addr, "err", err) })
 }
 
-// write sends a request whole, unless unsent ends before. An error means that its last byte was not written, so it has
-// never run. A kept connection that turns out to be dead before then is made up for by a new one.
-func (b *Backends) write(ctx, unsent context.Context, id gateway.BackendID, at *place, m *message) (*kept, error) {
+// write sends a whole request, unless unsent ends first. An error means that its last byte was not written, so that it
+// has not run. A pooled connection that proves dead before then is replaced by a new one.
+func (b *Backends) write(ctx, unsent context.Context, id gateway.BackendID, endpoint *endpointPool,
+	m *message) (*pooledConn, error) {
 	for fresh := false; ; fresh = true {
-		c, err := b.pool.get(unsent, at, fresh)
+		c, err := b.pool.get(unsent, endpoint, fresh)
 		if err != nil {
 			return nil, err
 		}
-		// A connection may have taken long to come up, and whoever tells that the client has left may be late.
-		if b.ready(id) != at || m.unwanted(unsent) {
-			b.pool.drop(c)
-			return nil, errStale
+		// Connecting may have taken long, and the notification that the client has disconnected may be late.
+		if b.readyEndpoint(id) != endpoint || m.cancelled(unsent) {
+			b.pool.close(c)
+			return nil, errAttemptObsolete
 		}
 		text, err := m.encode(ctx)
 		if err == nil {
-			c.SetReadDeadline(time.Time{}) // from here on the context's end alone ends the wait
+			c.SetReadDeadline(time.Time{}) // from here on only the end of ctx ends the wait
 			err = c.writeAll(unsent, text)
 		}
 		if err == nil {
 			return c, nil
 		}
-		b.pool.drop(c)
-		if !c.used || unsent.Err() != nil {
+		b.pool.close(c)
+		if !c.hasServed || unsent.Err() != nil {
 			return nil, err
 		}
 	}
 }
 
-// writeTurn is how long a write that the other side does not take goes on until it looks whether it is still wanted.
-const writeTurn = 50 * time.Millisecond
+// writeSlice is how long a blocked write goes on between two checks whether its attempt has been cancelled.
+const writeSlice = 50 * time.Millisecond
 
-// writeAll writes a text whole, unless unsent ends before.
-func (c *kept) writeAll(unsent context.Context, text []byte) error {
+// writeAll writes all of text, unless unsent ends first.
+func (c *pooledConn) writeAll(unsent context.Context, text []byte) error {
 	for len(text) > 0 {
-		c.SetWriteDeadline(time.Now().Add(writeTurn))
+		c.SetWriteDeadline(time.Now().Add(writeSlice))
 		n, err := c.Write(text)
 		text = text[n:]
 		if ne, ok := err.(net.Error); ok && ne.Timeout() && unsent.Err() == nil {
@@ -258,7 +271,7 @@
 	return nil
 }
 
-// encode gives one attempt's request as it stands on the wire.
+// encode returns one attempt's request in its HTTP/1.1 form, with the time left until the deadline of ctx.
 func (m *message) encode(ctx context.Context) ([]byte, error) {
 	header := m.header.Clone()
 	if due, ok := ctx.Deadline(); ok {
@@ -275,104 +288,11 @@
 	return text.Bytes(), err
 }
 
-var (
-	errEnded  = errors.New("the connection ended before an answer")
-	errLength = errors.New("the answer does not tell its length")
-	errSwitch = errors.New("the answer switches protocols")
-)
-
-// read takes in a whole answer, and tells whether the backend leaves the connection open. An error means that
-// there was no answer that can be used.
-func (b *Backends) read(ctx context.Context, c *kept, m *message, r *reply) (keep bool, err error) {
-	c.bound.left = maxHead
-	if _, err := c.r.Peek(1); err != nil {
-		return false, fmt.Errorf("%w: %w", errEnded, err)
-	}
-	// The context's end may have set a deadline already, which this must not undo.
-	c.SetReadDeadline(time.Now().Add(answerTime))
-	if err := ctx.Err(); err != nil {
-		return false, err
-	}
-	res, err := http.ReadResponse(c.r, &http.Request{Method: m.method})
-	for err == nil && res.StatusCode < 200 && res.StatusCode != http.StatusSwitchingProtocols {
-		res, err = http.ReadResponse(c.r, &http.Request{Method: m.method})
-	}
-	if err != nil {
-		return false, err
-	}
-	body, err := readAnswer(c, res)
-	if err != nil {
-		return false, err
-	}
-	switch {
-	case res.StatusCode == http.StatusOK:
-		r.result, r.body, r.contentType = gateway.Answered, body, res.Header["Content-Type"]
-	case (res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusGatewayTimeout) &&
-		res.Header.Get("Not-Started") == "1":
-		r.result = gateway.Refused
-	default:
-		r.result = gateway.AnsweredErr // it may have run
-	}
-	if v, err := strconv.ParseFloat(res.Header.Get("X-RateLimit-Used"), 64); err == nil && v >= 0 && v <= maxUse {
-		r.hasUse, r.use = true, v
-	}
-	r.load = b.parseLoad(res.Header.Get("Server-Load"))
-	return !res.Close, nil
-}
-
-// readAnswer reads an answer's body. One that only the connection's end would end can't be told from a cut one.
-func readAnswer(c *kept, res *http.Response) ([]byte, error) {
-	c.bound.left = 2 * maxBody // chunks take more room than what is in them
-	switch {
-	case res.StatusCode == http.StatusSwitchingProtocols:
-		return nil, errSwitch
-	case res.ContentLength > maxBody:
-		return nil, errBig
-	case res.ContentLength >= 0:
-		body := make([]byte, res.ContentLength)
-		_, err := io.ReadFull(res.Body, body)
-		return body, err
-	case len(res.TransferEncoding) == 0:
-		return nil, errLength
-	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxBody+1))
-	if err == nil && len(body) > maxBody {
-		err = errBig
-	}
-	return body, err
-}
-
-// parseLoad reads a load report such as "queue=2,qps=31"; nil if it does not hold all that the settings name.
-func (b *Backends) parseLoad(text string) []float64 {
-	if text == "" || len(b.columns) == 0 {
-		return nil
-	}
-	load := make([]float64, len(b.columns))
-	found := 0
-	for field := range strings.SplitSeq(text, ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
-		for i, column := range b.columns {
-			if name == column {
-				v, err := strconv.ParseFloat(value, 64)
-				if err != nil || !(v >= 0) || math.IsInf(v, 0) {
-					return nil
-				}
-				load[i] = v
-				found++
-			}
-		}
-	}
-	if found != len(load) {
-		return nil
-	}
-	return load
-}
-
-// probe asks a backend for its health, with its load if there are reports.
+// probe requests a backend's health, and its load figures if the settings name any.
 func (b *Backends) probe(id gateway.BackendID) gateway.ProbeResult {
 	out := gateway.ProbeResult{Backend: id}
 	m := &message{method: http.MethodGet, target: "/health", header: http.Header{}}
-	if b.reports {
+	if b.loadReports {
 		m.target = "/status/load"
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
@@ -380,7 +300,7 @@
 	start := time.Now()
 	r := b.send(ctx, ctx, id, m)
 	out.Result, out.Took, out.Load = r.result, time.Since(start), r.load
-	if b.reports && r.result == gateway.Answered {
+	if b.loadReports && r.result == gateway.Answered {
 		out.Load = b.parseLoad(strings.TrimSpace(string(r.body)))
 	}
 	return out
--- a/internal/frontdoor/backends_failure_test.go
+++ b/internal/frontdoor/backends_failure_test.go
@@ -22,7 +22,7 @@
 				conns[conn] = true
 				if late {
 					io.WriteString(conn, okReply)
-					time.Sleep(restTime / 2)
+					time.Sleep(reuseCooldown / 2)
 					io.WriteString(conn, surplus)
 				} else {
 					io.WriteString(conn, okReply+surplus)
@@ -33,7 +33,7 @@
 				if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.Answered || string(r.body) != "ok" {
 					t.Errorf("%s: %v %q", name, r.result, r.body)
 				}
-				time.Sleep(2 * restTime)
+				time.Sleep(2 * reuseCooldown)
 			}
 			if len(conns) != 3 {
 				t.Errorf("%s: 3 requests on %d connections", name, len(conns))
@@ -42,8 +42,8 @@
 	}
 }
 
-// One spoilt answer closes its own connection only: the others are as good as before.
-func TestASpoiltAnswerLeavesTheOthers(t *testing.T) {
+// One malformed response closes its own connection only: the others are as good as before.
+func TestAMalformedResponseSparesOtherConnections(t *testing.T) {
 	goOn, both := make(chan bool), make(chan bool, 2)
 	addr := raw(t, func(n int, conn net.Conn) {
 		if n <= 2 {
@@ -65,7 +65,7 @@
 	close(goOn)
 	await(t, done, "the first answer")
 	await(t, done, "the second answer")
-	time.Sleep(2 * restTime)
+	time.Sleep(2 * reuseCooldown)
 	if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.Unknown {
 		t.Errorf("a spoilt answer ended as %v", r.result)
 	}
@@ -99,7 +99,7 @@
 		t.Errorf("20 backends had %d ids and %d connections", len(ids), len(conns))
 	}
 	if len(b.byHost) != 1 || len(b.byID) != 1 || b.pool.open != 1 || b.pool.idle.Len() != 1 {
-		t.Errorf("kept: %d hosts, %d ids, %d connections", len(b.byHost), len(b.byID), b.pool.open)
+		t.Errorf("held: %d hosts, %d ids, %d connections", len(b.byHost), len(b.byID), b.pool.open)
 	}
 }
 
@@ -119,10 +119,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var silent atomic.Bool
-			var asked atomic.Int64 // attempts since then
+			var requested atomic.Int64 // attempts since then
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				io.Copy(io.Discard, r.Body)
-				if silent.Load() && asked.Add(1) == 1 {
+				if silent.Load() && requested.Add(1) == 1 {
 					<-r.Context().Done()
 					return
 				}
@@ -130,10 +130,10 @@
 			}
 			list := ready(serve(t, handler), serve(t, handler))
 			list.Hosts[1].Block = c.block
-			d := startDoor(t, nil)
+			d := startInstance(t, nil)
 			d.loop.Update(list)
 			ask := func(id int, timeout string) (*http.Response, string) {
-				return do(t, d.ask(t, c.class, func(r *http.Request) {
+				return do(t, d.newRequest(t, c.class, func(r *http.Request) {
 					r.Header.Set("Request-Id", fmt.Sprintf("%016x", id))
 					r.Header.Set("Request-Timeout", timeout)
 				}))
@@ -152,8 +152,8 @@
 			if got := res.StatusCode == http.StatusOK && body == "ok"; got != c.served {
 				t.Errorf("answered %d %q, served: want %v", res.StatusCode, body, c.served)
 			}
-			if want := int64(1 + b2i(c.served)); asked.Load() != want {
-				t.Errorf("%d attempts were made, want %d", asked.Load(), want)
+			if want := int64(1 + b2i(c.served)); requested.Load() != want {
+				t.Errorf("%d attempts were made, want %d", requested.Load(), want)
 			}
 		})
 	}
@@ -181,10 +181,10 @@
 	}
 	list := ready(serve(t, handler(1)), serve(t, handler(2)))
 	list.Hosts[1].Block = 1 // so that a keyed attempt can't be made elsewhere
-	d := startDoor(t, nil)
+	d := startInstance(t, nil)
 	d.loop.Update(list)
 	ask := func(id int, timeout string) int {
-		res, _ := do(t, d.ask(t, "pay", func(r *http.Request) {
+		res, _ := do(t, d.newRequest(t, "pay", func(r *http.Request) {
 			r.Header.Set("Request-Id", fmt.Sprintf("%016x", id))
 			r.Header.Set("Request-Timeout", timeout)
 		}))
@@ -211,20 +211,20 @@
 	}
 }
 
-// Answers that tell a customer's use out of order tell one period more than once. A customer that stays within its
+// Answers that report a customer's use out of order report one period more than once. A customer that stays within its
 // quota, by its own count and by every reading, must not be refused for that.
 func TestReadingsOutOfOrderRefuseNobody(t *testing.T) {
 	t.Parallel()
-	var asked atomic.Int64
-	d := startDoor(t, nil, serve(t, func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set("X-RateLimit-Used", fmt.Sprint(40+asked.Add(1)%2))
+	var requested atomic.Int64
+	d := startInstance(t, nil, serve(t, func(w http.ResponseWriter, r *http.Request) {
+		w.Header().Set("X-RateLimit-Used", fmt.Sprint(40+requested.Add(1)%2))
 		io.WriteString(w, "ok")
 	}))
 	pace := time.NewTicker(260 * time.Millisecond) // a little over half the meter's period
 	defer pace.Stop()
 	for id := range 34 {
 		<-pace.C
-		res, _ := do(t, d.ask(t, "look", func(r *http.Request) {
+		res, _ := do(t, d.newRequest(t, "look", func(r *http.Request) {
 			r.Header.Set("Request-Id", fmt.Sprintf("%016x", id))
 			r.Header.Set("X-Tier", "tiny")
 			r.Header.Set("X-Call-Terms", "units=0.05,spread=1,first=0") // 0.19 units a second of 0.5
--- a/internal/frontdoor/backends_test.go
+++ b/internal/frontdoor/backends_test.go
@@ -29,7 +29,7 @@
 
 const okReply = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// A client library may send a GET, and a POST with an Idempotency-Key, again by itself when a kept connection
+// A client library may send a GET, and a POST with an Idempotency-Key, again by itself when a pooled connection
 // turns out dead. Such a copy is an attempt that the gateway knows nothing of.
 func TestNothingIsSentAgainOnADeadConnection(t *testing.T) {
 	for name, m := range map[string]*message{"GET": lookMessage, "keyed POST": payMessage} {
@@ -48,7 +48,7 @@
 		if r := b.send(ctx, ctx, id, m); r.result != gateway.Answered {
 			t.Fatalf("%s: first attempt ended as %v", name, r.result)
 		}
-		time.Sleep(2 * restTime) // so that the second takes the same connection
+		time.Sleep(2 * reuseCooldown) // so that the second takes the same connection
 		if r := b.send(ctx, ctx, id, m); r.result != gateway.Broken {
 			t.Errorf("%s: on a connection that broke the attempt ended as %v, want Broken", name, r.result)
 		}
@@ -83,27 +83,27 @@
 		answer func(int, net.Conn)
 		want   gateway.Result
 	}{
-		"served":               {reply(200), gateway.Answered},
-		"error":                {reply(500), gateway.AnsweredErr},
-		"not found":            {reply(404), gateway.AnsweredErr},
-		"turned away with 503": {reply(503, "Not-Started", "1"), gateway.Refused},
-		"turned away with 504": {reply(504, "Not-Started", "1"), gateway.Refused},
-		"503 without proof":    {reply(503), gateway.AnsweredErr},
-		"504 that denies it":   {reply(504, "Not-Started", "0"), gateway.AnsweredErr},
-		"500 never proves it":  {reply(500, "Not-Started", "1"), gateway.AnsweredErr},
-		"connection ends":      {text(""), gateway.Broken},
+		"served":              {reply(200), gateway.Answered},
+		"error":               {reply(500), gateway.AnsweredErr},
+		"not found":           {reply(404), gateway.AnsweredErr},
+		"rejected with 503":   {reply(503, "Not-Started", "1"), gateway.Refused},
+		"rejected with 504":   {reply(504, "Not-Started", "1"), gateway.Refused},
+		"503 without proof":   {reply(503), gateway.AnsweredErr},
+		"504 that denies it":  {reply(504, "Not-Started", "0"), gateway.AnsweredErr},
+		"500 never proves it": {reply(500, "Not-Started", "1"), gateway.AnsweredErr},
+		"connection ends":     {text(""), gateway.Broken},
 		"connection reset": {func(_ int, conn net.Conn) {
 			conn.(*net.TCPConn).SetLinger(0)
 			conn.Close()
 		}, gateway.Broken},
-		// A spoilt answer may have run, and says nothing bad of the backend: as Broken it would be held back and
+		// A malformed response may have run, and is no sign against the backend: as Broken it would be held back and
 		// taken for one that has restarted.
 		"body cut midway":     {text("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), gateway.Unknown},
 		"head cut midway":     {text("HTTP/1.1 20"), gateway.Unknown},
 		"not HTTP":            {text("\x00\x01garbage\r\n\r\n"), gateway.Unknown},
 		"body never ends":     {open("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), gateway.Unknown},
 		"head never ends":     {open("HTTP/1.1 200 OK\r\nA: b\r\n"), gateway.Unknown},
-		"head over the limit": {open("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", maxHead)), gateway.Unknown},
+		"head over the limit": {open("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", maxResponseHead)), gateway.Unknown},
 		"3 GB announced":      {open("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok"), gateway.Unknown},
 		"two lengths":         {open("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok"), gateway.Unknown},
 		"negative length":     {open("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"), gateway.Unknown},
@@ -111,7 +111,7 @@
 		"bad chunks":          {open("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok"), gateway.Unknown},
 		"chunks over the limit": {open("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 3)), gateway.Unknown},
-		"1xx without end":         {open(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", maxHead/20)), gateway.Unknown},
+		"1xx without end":         {open(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", maxResponseHead/20)), gateway.Unknown},
 		"1xx ahead":               {open("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nA: b\r\n\r\n" + okReply), gateway.Answered},
 		"switch":                  {open("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"), gateway.Unknown},
 		"chunks":                  {open("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), gateway.Answered},
@@ -122,14 +122,14 @@
 	} {
 		b, id := attempts(t, raw(t, c.answer))
 		ctx, cancel := context.WithTimeout(t.Context(), patient)
-		if r := b.send(ctx, ctx, id, payMessage); r.result != c.want || r.hasUse || r.load != nil {
-			t.Errorf("%s: %v, want %v; use %v, load %v", name, r.result, c.want, r.hasUse, r.load)
+		if r := b.send(ctx, ctx, id, payMessage); r.result != c.want || r.hasUsage || r.load != nil {
+			t.Errorf("%s: %v, want %v; use %v, load %v", name, r.result, c.want, r.hasUsage, r.load)
 		}
 		cancel()
 	}
 }
 
-func TestNoConnectionIsToldFromNoAnswer(t *testing.T) {
+func TestNoConnectionIsDistinguishedFromNoResponse(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -162,8 +162,8 @@
 		w.Header().Set("Server-Load", "qps=31.5, queue=2,new=7")
 	}))
 	r := b.send(t.Context(), t.Context(), id, lookMessage)
-	if !r.hasUse || r.use != 85 || !slices.Equal(r.load, []float64{2, 31.5}) {
-		t.Errorf("use %v %v, load %v", r.hasUse, r.use, r.load)
+	if !r.hasUsage || r.usage != 85 || !slices.Equal(r.load, []float64{2, 31.5}) {
+		t.Errorf("use %v %v, load %v", r.hasUsage, r.usage, r.load)
 	}
 }
 
@@ -186,7 +186,7 @@
 		}
 		list := ready(addr)
 		id := b.update(list, clock{time.Now()})[0].ID
-		if warm { // the drain is told between two attempts
+		if warm { // the drain is received between two attempts
 			go func() { <-dialing; goOn <- true }()
 			b.send(t.Context(), t.Context(), id, lookMessage)
 			<-got
@@ -213,7 +213,7 @@
 
 // A backend may close a connection that was idle for the settings' time, and a request that crosses the close
 // is lost; so this side closes first. A new process or address takes no request on the old one's connections.
-func TestKeptConnections(t *testing.T) {
+func TestPooledConnections(t *testing.T) {
 	conns, closed := make(chan bool, 10), make(chan bool, 10)
 	s := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}),
 		ConnState: func(_ net.Conn, st http.ConnState) {
@@ -238,7 +238,7 @@
 		if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.Answered {
 			t.Fatal(r.result)
 		}
-		time.Sleep(2 * restTime)
+		time.Sleep(2 * reuseCooldown)
 	}
 	if n := len(conns); n != 1 {
 		t.Errorf("%d connections for 5 attempts, one after another", n)
@@ -256,7 +256,7 @@
 	await(t, closed, "the idle connection to be closed")
 }
 
-// The attempts that are out hold sockets, of which a front door may have only so many.
+// The attempts that are out hold sockets, of which an instance may have only so many.
 func TestAttemptsAreBounded(t *testing.T) {
 	read := make(chan bool, 1)
 	addr := raw(t, func(int, net.Conn) { read <- true; <-t.Context().Done() })
@@ -282,7 +282,7 @@
 	}
 }
 
-// A dial that fails as this front door has no descriptor left says nothing of the backend.
+// A dial that fails as this instance has no descriptor left says nothing of the backend.
 func TestOwnShortageIsNotTheBackends(t *testing.T) {
 	b := NewBackends(config(t))
 	b.pool.dial = func(context.Context, string, string) (net.Conn, error) {
--- a/internal/frontdoor/clients.go
+++ b/internal/frontdoor/clients.go
@@ -4,13 +4,10 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
-	"math"
 	"net"
 	"net/http"
 	"strconv"
-	"strings"
 	"sync/atomic"
 	"time"
 
@@ -20,60 +17,57 @@
 )
 
 const (
-	// A client's time counts from when it sent the request, which is before we see it, and its answer must
-	// reach it before that time is up. So the gateway is told of less time by the first margin, and the last
-	// moment, at which a request without an answer is answered here, lies the second margin before the end. Of a short
-	// time they take a share only.
-	gatewayMargin    = 40 * time.Millisecond
-	lastMomentMargin = 20 * time.Millisecond
-	marginShare      = 8 // of the client's time, the gateway's margin takes one part of so many at most
+	// A client's timeout runs from when it sent the request, before it is received here, and its response must arrive
+	// before the end. So the gateway is given gatewayMargin less, and a request still open responseMargin before the
+	// end is answered with 504 here. Of a short timeout both are a fraction only.
+	gatewayMargin  = 40 * time.Millisecond
+	responseMargin = 20 * time.Millisecond
+	marginDivisor  = 8 // gatewayMargin is at most the timeout divided by this
 
-	maxCustomer = 1 << 33
+	// Time-outs of a request's head and body. On a new connection, headTimeout counts from its accept.
+	headTimeout = 1500 * time.Millisecond
+	bodyTimeout = time.Second
+	idleTimeout = 15 * time.Second // how long a client may keep a connection without a request
 
-	// A client that sends no whole request within headTime and bodyTime of its beginning is not one of ours. A new
-	// connection's head counts from its accept.
-	headTime = 1500 * time.Millisecond
-	bodyTime = time.Second
-	idleTime = 15 * time.Second // that a client may keep a connection without a request
-
-	// After SIGTERM new connections are taken for at least drainLeast, then until none has come for
-	// drainQuiet, and for no longer than drainMost. The platform kills us no sooner than drainMost after the
-	// longest deadline, or after killCounts if that is shorter.
-	drainLeast = 500 * time.Millisecond
+	// After SIGTERM new connections are accepted for at least drainMin, then until none has arrived for drainQuiet,
+	// and for no longer than drainMax. The platform kills the process no sooner than drainMax and then the longest
+	// deadline, or killGrace if that is shorter, have passed.
+	drainMin   = 500 * time.Millisecond
 	drainQuiet = 150 * time.Millisecond
-	drainMost  = 700 * time.Millisecond
-	killCounts = 3 * time.Second
-	drainLook  = 10 * time.Millisecond // between two looks at what is still open
+	drainMax   = 700 * time.Millisecond
+	killGrace  = 3 * time.Second
+	drainPoll  = 10 * time.Millisecond // interval of the checks for open connections
 
-	// Where the list has to be asked for, a new process may send to nobody before it has one, and is not ready for clients.
-	// It is all the same after this time: a restarted one has to be within 6 s.
-	listWait = 5 * time.Second
+	// Where the list must be requested, a new process may send to no backend before it has one, and is not ready for
+	// clients. After this time it is nevertheless: a restarted one must be ready within 6 s.
+	firstListTimeout = 5 * time.Second
 )
 
-// Clients is the side of the front door that clients see.
+// Clients serves the clients of an instance over HTTP.
 type Clients struct {
-	loop     *Loop
-	settings gateway.Settings
-	classes  map[string]gateway.Class
-	plans    map[string]bool
-	started  time.Time
-	longest  time.Duration // of all deadlines
-	conns    *connTable
-	killed   atomic.Pointer[time.Time] // when the platform may kill this process; nil before SIGTERM
-	lastConn atomic.Int64              // when the last connection was accepted, Unix time in nanoseconds
-	badLog   rate.Sometimes
-	lateLog  rate.Sometimes
+	loop          *Loop
+	settings      gateway.Settings
+	classes       map[string]gateway.Class
+	plans         map[string]bool
+	started       time.Time
+	maxDeadline   time.Duration // of all deadlines
+	conns         *connTable
+	killTime      atomic.Pointer[time.Time] // when the platform may kill this process; nil before SIGTERM
+	lastConn      atomic.Int64              // when the last connection was accepted, Unix time in nanoseconds
+	badRequestLog rate.Sometimes
+	timeoutLog    rate.Sometimes
 }
 
-// NewClients serves clients from a loop.
+// NewClients returns the clients' side for a loop.
 func NewClients(config Config, loop *Loop) *Clients {
 	settings := config.Settings
 	c := &Clients{loop: loop, settings: settings, started: time.Now(), conns: newConnTable(config.Limits.clientConns()),
 		classes: map[string]gateway.Class{}, plans: map[string]bool{},
-		badLog: rate.Sometimes{First: 10, Interval: time.Second}, lateLog: rate.Sometimes{First: 10, Interval: time.Second}}
+		badRequestLog: rate.Sometimes{First: 10, Interval: time.Second},
+		timeoutLog:    rate.Sometimes{First: 10, Interval: time.Second}}
 	for _, class := range settings.Classes {
 		c.classes[class.Name] = class
-		c.longest = max(c.longest, class.Deadline)
+		c.maxDeadline = max(c.maxDeadline, class.Deadline)
 	}
 	for _, plan := range settings.Plans {
 		c.plans[plan.Name] = true
@@ -81,23 +75,24 @@
 	return c
 }
 
-// Run serves clients on a listener until ctx ends, and then for as long as it takes to lose nothing: it goes
-// on accepting while clients still come, stops listening, and returns when it holds no request.
+// Run serves clients on a listener until ctx ends, and then until no request can be lost: it goes on accepting while
+// connections still arrive, stops listening, and returns when no request is open. It returns an error when the listener
+// fails.
 func (c *Clients) Run(ctx context.Context, listener net.Listener) error {
 	srv := &http.Server{
 		Handler:           c,
-		ReadHeaderTimeout: headTime,
-		// There is no ReadTimeout: it would also run while a request waits for its answer, and a read that times
-		// out then would look as if the client had gone. Bodies have a limit of their own.
-		WriteTimeout:   c.longest + 10*time.Second,
-		IdleTimeout:    idleTime,
+		ReadHeaderTimeout: headTimeout,
+		// There is no ReadTimeout: it would also run while a request waits for its response, and a read that times
+		// out then would look as if the client had disconnected. Bodies have bodyTimeout.
+		WriteTimeout:   c.maxDeadline + 10*time.Second,
+		IdleTimeout:    idleTimeout,
 		MaxHeaderBytes: 16 << 10,
 		ErrorLog:       slog.NewLogLogger(slog.Default().Handler(), slog.LevelWarn),
 		ConnState: func(conn net.Conn, s http.ConnState) {
 			if s == http.StateNew {
 				c.lastConn.Store(time.Now().UnixNano())
 			}
-			c.conns.note(conn, s)
+			c.conns.connStateChanged(conn, s)
 		},
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, conn)
@@ -115,90 +110,103 @@
 	return c.drain(accepts, ended)
 }
 
-// drain ends what Run serves. The server's own Shutdown is not used: it resets connections that have not been accepted
-// yet, and closes idle ones whatever has come on them.
+// drain ends Run gracefully. The server's own Shutdown is not used: it resets connections that are still in the
+// backlog, and closes idle ones even if a request has arrived on them.
 func (c *Clients) drain(accepts *clientListener, ended <-chan error) error {
 	start := time.Now()
-	killed := start.Add(drainMost + min(c.longest, killCounts))
-	c.killed.Store(&killed)
-	for time.Since(start) < drainLeast ||
-		time.Since(start) < drainMost && time.Since(time.Unix(0, c.lastConn.Load())) < drainQuiet {
-		time.Sleep(drainLook)
+	killed := start.Add(drainMax + min(c.maxDeadline, killGrace))
+	c.killTime.Store(&killed)
+	for time.Since(start) < drainMin ||
+		time.Since(start) < drainMax && time.Since(time.Unix(0, c.lastConn.Load())) < drainQuiet {
+		time.Sleep(drainPoll)
 	}
-	if err := accepts.finish(); err != nil {
+	if err := accepts.stopAccepting(); err != nil {
 		return fmt.Errorf("end of listening: %w", err)
 	}
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("end of listening: %w", err)
 	}
-	for c.conns.closeQuiet(drainQuiet) > 0 && time.Since(start) < drainMost+c.longest {
-		time.Sleep(drainLook)
+	for c.conns.closeIdle(drainQuiet) > 0 && time.Since(start) < drainMax+c.maxDeadline {
+		time.Sleep(drainPoll)
 	}
 	return nil
 }
 
-// lastAnswer tells the client, once this process is to end, that its connection ends with this answer.
-func (c *Clients) lastAnswer(w http.ResponseWriter) {
-	if c.killed.Load() != nil {
+// closeAfterResponse makes a connection end with this response once the process drains.
+func (c *Clients) closeAfterResponse(w http.ResponseWriter) {
+	if c.killTime.Load() != nil {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// ready tells whether clients may come.
+// ready reports whether the instance is ready for clients.
 func (c *Clients) ready() bool {
-	if c.killed.Load() != nil {
+	if c.killTime.Load() != nil {
 		return false
 	}
-	return !c.settings.AskForList || c.loop.listed.Load() || time.Since(c.started) >= listWait
+	return !c.settings.AskForList || c.loop.hasList.Load() || time.Since(c.started) >= firstListTimeout
 }
 
-// ServeHTTP takes one request and gives it its one final answer.
+// ServeHTTP serves one request, with exactly one final response.
 func (c *Clients) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	if r.URL.Path == "/ready" {
-		c.lastAnswer(w)
+		c.closeAfterResponse(w)
 		if !c.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return
 	}
-	req, msg, timeout, err := c.parse(r)
+	parsed, err := c.parse(r)
 	if err == nil {
-		msg.body, err = readBody(w, r, msg.method)
+		parsed.msg.body, err = readBody(w, r, parsed.msg.method)
 	}
-	if killed := c.killed.Load(); killed != nil {
-		timeout = min(timeout, killed.Sub(arrived)) // what comes late must have its answer by then as well
+	if killTime := c.killTime.Load(); killTime != nil {
+		parsed.timeout = min(parsed.timeout, killTime.Sub(arrived)) // a late request must have its response by then as well
 	}
 	if err == nil {
-		forGateway, lastMoment := margins(timeout)
-		req.Patience = timeout - forGateway - time.Since(arrived)
-		ctx, cancel := context.WithDeadline(r.Context(), arrived.Add(timeout-lastMoment))
-		defer cancel()
-		msg.left = hasLeft(r, cancel)
-		var a answer
-		if a, err = c.loop.Serve(ctx, req, msg); err == nil {
-			c.lastAnswer(w)
-			c.answer(w, a)
+		var final finalResponse
+		if final, err = c.decide(r, parsed, arrived); err == nil {
+			c.closeAfterResponse(w)
+			c.writeResponse(w, final)
 			return
 		}
 	}
-	c.lastAnswer(w)
+	c.closeAfterResponse(w)
+	c.writeError(w, r, parsed, err)
+}
+
+// decide passes a request that was read to the loop and waits for its final response. An error is one of the loop's, or
+// the context's: context.Canceled after the client has disconnected, context.DeadlineExceeded at the end of its time.
+func (c *Clients) decide(r *http.Request, parsed parsedRequest, arrived time.Time) (finalResponse, error) {
+	forGateway, responseTime := margins(parsed.timeout)
+	parsed.req.Patience = parsed.timeout - forGateway - time.Since(arrived)
+	ctx, cancel := context.WithDeadline(r.Context(), arrived.Add(parsed.timeout-responseTime))
+	defer cancel()
+	parsed.msg.disconnected = disconnectCheck(r, cancel)
+	return c.loop.Serve(ctx, parsed.req, parsed.msg)
+}
+
+// writeError answers a request that has no final response from the loop.
+func (c *Clients) writeError(w http.ResponseWriter, r *http.Request, parsed parsedRequest, err error) {
 	switch {
 	case errors.Is(err, context.Canceled):
-		// Most likely nobody is there to be told. But a client may have ended its sending only, and without a
-		// word from here it would read an empty 200. What it sent behind is not served.
+		// Most likely the client is gone. But it may have closed only its sending side, and without a response
+		// it would read an empty 200. Requests that it sent behind this one are not served.
 		w.Header().Set("Connection", "close")
 		w.WriteHeader(http.StatusBadGateway)
 	case errors.Is(err, context.DeadlineExceeded):
-		c.lateLog.Do(func() { slog.Warn("answered at the last moment", "class", req.Class, "timeout", timeout) })
+		c.timeoutLog.Do(func() {
+			slog.Warn("timed out: no final response in time", "class", parsed.req.Class, "timeout", parsed.timeout)
+		})
 		w.WriteHeader(http.StatusGatewayTimeout)
 	default:
-		c.badLog.Do(func() { slog.Warn("bad request", "from", r.RemoteAddr, "err", err) })
+		c.badRequestLog.Do(func() { slog.Warn("bad request", "from", r.RemoteAddr, "err", err) })
 		status := http.StatusBadRequest
-		if errors.Is(err, errBigRequest) {
+		if errors.Is(err, errBodyTooLarge) {
 			status = http.StatusRequestEntityTooLarge
 		}
-		w.Header().Set("Connection", "close") // what else it sends is not waited for
+		w.Header().Set("Connection", "close") // the rest of its request is not read
 		http.Error(w, err.Error(), status)
 	}
 }
@@ -206,31 +214,32 @@
 // connKey is the key of a request's connection in its context.
 type connKey struct{}
 
-// hasLeft looks, without waiting for the server's own watch, whether the client of a request has left, and ends the
-// request by end if so. A door that is short of its core hears of a leaving late, the later the busier it is, and would
-// begin attempts meanwhile that nobody waits for.
-func hasLeft(r *http.Request, end func()) func() bool {
+// disconnectCheck returns a check, independent of the server's own watch, whether the client of a request has
+// disconnected; if so, it also ends the request by end. An instance short of CPU notices a disconnection late, and
+// would meanwhile begin attempts whose responses nobody waits for. It returns nil where the connection is unknown.
+func disconnectCheck(r *http.Request, end func()) func() bool {
 	conn, ok := r.Context().Value(connKey{}).(net.Conn)
 	if !ok {
 		return nil
 	}
 	return func() bool {
-		left := pending(conn) == ended
-		if left {
+		disconnected := peekSocket(conn) == peerClosed
+		if disconnected {
 			end()
 		}
-		return left
+		return disconnected
 	}
 }
 
-func (c *Clients) answer(w http.ResponseWriter, a answer) {
+// writeResponse writes a final response.
+func (c *Clients) writeResponse(w http.ResponseWriter, a finalResponse) {
 	h := w.Header()
 	switch a.kind {
 	case served:
-		h["Content-Type"] = a.reply.contentType // nil: none is guessed
+		h["Content-Type"] = a.reply.contentType // nil: none is sent
 		h.Set("Content-Length", strconv.Itoa(len(a.reply.body)))
-		_, _ = w.Write(a.reply.body) // if it fails, the connection is closed: the client sees a cut answer
-	case refused:
+		_, _ = w.Write(a.reply.body) // on an error the connection is closed: the client sees a truncated response
+	case rejected:
 		if a.retryAfter > 0 {
 			h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
 		}
@@ -240,141 +249,9 @@
 	}
 }
 
-// margins are how long before the end of a client's time the gateway's ends, and the last moment lies.
-func margins(timeout time.Duration) (forGateway, lastMoment time.Duration) {
-	forGateway = min(gatewayMargin, timeout/marginShare)
-	return forGateway, min(lastMomentMargin, forGateway/2)
-}
-
-var errBigRequest = errors.New("the body is over 64 KiB")
-
-func readBody(w http.ResponseWriter, r *http.Request, method string) ([]byte, error) {
-	if r.ContentLength > maxBody {
-		return nil, errBigRequest
-	}
-	if method == http.MethodGet {
-		return nil, nil
-	}
-	control := http.NewResponseController(w)
-	if err := control.SetReadDeadline(time.Now().Add(bodyTime)); err != nil {
-		return nil, err
-	}
-	body := make([]byte, r.ContentLength)
-	if _, err := io.ReadFull(r.Body, body); err != nil {
-		return nil, err
-	}
-	// From here on the connection is read only to learn whether the client leaves.
-	return body, control.SetReadDeadline(time.Time{})
-}
-
-// parse reads all of a request but its body. What it lets through is safe to pass to the gateway.
-func (c *Clients) parse(r *http.Request) (req gateway.Request, msg *message, timeout time.Duration, err error) {
-	bad := func(what, value string) (gateway.Request, *message, time.Duration, error) {
-		return gateway.Request{}, nil, 0, fmt.Errorf("%s: %.40q", what, value)
-	}
-	// A Content-Length next to a Transfer-Encoding is dropped unseen by the server (in HTTP/1.0 the latter is), and
-	// whoever goes by the other one finds a second request in the body. Our clients tell lengths and send HTTP/1.1.
-	if len(r.TransferEncoding) > 0 || r.ContentLength < 0 || r.ProtoMajor != 1 || r.ProtoMinor != 1 {
-		return bad("framing", r.Proto+" "+strings.Join(r.TransferEncoding, ", "))
-	}
-	// A header that is there twice could be read in two ways, here and behind us.
-	h := map[string]string{}
-	for _, name := range []string{"Request-Id", "Request-Class", "X-Tier", "X-Api-Key", "Request-Timeout",
-		"X-Call-Terms", "Idempotency-Key"} {
-		switch v := r.Header[name]; len(v) {
-		case 0:
-		case 1:
-			h[name] = v[0]
-		default:
-			return bad(name, strings.Join(v, ", "))
-		}
-	}
-	id, err := parseHex(h["Request-Id"])
-	if err != nil {
-		return bad("Request-Id", h["Request-Id"])
-	}
-	class, ok := c.classes[h["Request-Class"]]
-	if !ok {
-		return bad("Request-Class", h["Request-Class"])
-	}
-	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != class.Name ||
-		!strings.HasPrefix(r.RequestURI, "/") {
-		return bad("path of another class", r.RequestURI)
-	}
-	method := http.MethodPost
-	if class.Effect == gateway.Safe {
-		method = http.MethodGet
-	}
-	if r.Method != method {
-		return bad("method", r.Method)
-	}
-	if method == http.MethodGet && r.ContentLength != 0 {
-		return bad("a GET with a body", r.RequestURI)
-	}
-	if class.Effect == gateway.Keyed && h["Idempotency-Key"] == "" {
-		return bad("Idempotency-Key", "")
-	}
-	if !c.plans[h["X-Tier"]] {
-		return bad("X-Tier", h["X-Tier"])
-	}
-	customer, err := parseHex(h["X-Api-Key"])
-	if err != nil || customer >= maxCustomer {
-		return bad("X-Api-Key", h["X-Api-Key"])
-	}
-	seconds, err := strconv.ParseFloat(h["Request-Timeout"], 64)
-	if err != nil || !(seconds > 0) || math.IsInf(seconds, 0) {
-		return bad("Request-Timeout", h["Request-Timeout"])
-	}
-	timeout = time.Duration(min(seconds, class.Deadline.Seconds()) * float64(time.Second))
-	req = gateway.Request{ID: gateway.RequestID(id), Customer: gateway.CustomerID(customer), Class: class.Name, Plan: h["X-Tier"]}
-	if err := c.parseTerms(h["X-Call-Terms"], &req); err != nil {
-		return bad("X-Call-Terms", h["X-Call-Terms"])
-	}
-	msg = &message{method: method, target: r.RequestURI, host: r.Host, header: http.Header{"User-Agent": {""}}}
-	for _, name := range []string{"Request-Id", "Idempotency-Key", "Content-Type"} {
-		if v, ok := r.Header[name]; ok {
-			msg.header[name] = v
-		}
-	}
-	return req, msg, timeout, nil
-}
-
-var errTerms = errors.New("terms that make no sense")
-
-// parseTerms reads "units=2,spread=3,first=1"; each must be there once, and in range.
-func (c *Clients) parseTerms(text string, req *gateway.Request) error {
-	var units, spread, first bool
-	for field := range strings.SplitSeq(text, ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
-		var err error
-		var again bool
-		switch name {
-		case "units":
-			again, units = units, true
-			req.Units, err = strconv.ParseFloat(value, 64)
-		case "spread":
-			again, spread = spread, true
-			req.Spread, err = strconv.Atoi(value)
-		case "first":
-			again, first = first, true
-			req.FirstDoor, err = strconv.Atoi(value)
-		}
-		if err != nil || again {
-			return errTerms
-		}
-	}
-	s := c.settings
-	if !units || !spread || !first || !(req.Units > 0) || math.IsInf(req.Units, 0) ||
-		s.LargestUnits > 0 && req.Units > s.LargestUnits ||
-		req.Spread < 1 || req.Spread > s.FrontDoors || req.FirstDoor < 0 || req.FirstDoor >= s.FrontDoors {
-		return errTerms
-	}
-	return nil
-}
-
-func parseHex(s string) (uint64, error) {
-	if len(s) != 16 {
-		return 0, strconv.ErrSyntax
-	}
-	return strconv.ParseUint(s, 16, 64)
+// margins are how long before the end of a client's timeout the gateway's time ends, and a request still open is
+// answered with 504.
+func margins(timeout time.Duration) (forGateway, responseTime time.Duration) {
+	forGateway = min(gatewayMargin, timeout/marginDivisor)
+	return forGateway, min(responseMargin, forGateway/2)
 }
--- a/internal/frontdoor/conns.go
+++ b/internal/frontdoor/conns.go
@@ -12,114 +12,114 @@
 	"time"
 )
 
-// clientListener accepts connections that know whether a request has begun on them. The server takes a connection for
-// idle until it has read a whole head, and a head may come in pieces.
+// clientListener accepts connections that track whether a request has begun on them. The server regards a connection as
+// idle until it has read a whole head, and a head may arrive in pieces.
 type clientListener struct {
 	net.Listener
-	ending atomic.Bool // finish has been called
+	draining atomic.Bool // finish has been called
 }
 
-// settle is how long nothing must have come at the end before the listener is closed.
-const settle = time.Millisecond
+// settleTime is how long the backlog must stay empty at the end before the listener is closed.
+const settleTime = time.Millisecond
 
-// Accept gives the next connection. At the end it first gives those that the system has accepted and nobody has taken
-// yet: closing the listener would reset them, with the requests that have come on them.
+// Accept returns the next connection. After stopAccepting it first returns those in the kernel's backlog, as closing
+// the listener would reset them and lose their requests, and then net.ErrClosed.
 func (l *clientListener) Accept() (net.Conn, error) {
 	for settling := false; ; {
 		c, err := l.Listener.Accept()
 		switch ne, ok := err.(net.Error); {
 		case err == nil:
-			return &clientConn{Conn: c, since: time.Now()}, nil
-		case !ok || !ne.Timeout() || !l.ending.Load():
+			return &clientConn{Conn: c, acceptedAt: time.Now()}, nil
+		case !ok || !ne.Timeout() || !l.draining.Load():
 			return nil, err
-		case settling: // nothing has waited since the last look
+		case settling: // the backlog has stayed empty since the last look
 			return nil, errors.Join(net.ErrClosed, l.Close())
 		}
 		settling = true
-		if err := l.until(time.Now().Add(settle)); err != nil {
+		if err := l.setDeadline(time.Now().Add(settleTime)); err != nil {
 			return nil, errors.Join(err, l.Close())
 		}
 	}
 }
 
-// finish stops accepting as soon as nobody waits to be accepted.
-func (l *clientListener) finish() error {
-	l.ending.Store(true)
-	return l.until(time.Now())
+// stopAccepting makes Accept end as soon as the backlog is empty.
+func (l *clientListener) stopAccepting() error {
+	l.draining.Store(true)
+	return l.setDeadline(time.Now())
 }
 
-func (l *clientListener) until(t time.Time) error {
+func (l *clientListener) setDeadline(t time.Time) error {
 	if d, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok {
 		return d.SetDeadline(t)
 	}
 	return l.Close()
 }
 
-// maxAhead is how much a client may send while its request is open. Ours send one request at a time; what one sends
-// ahead is kept only so that its leaving is seen behind it.
-const maxAhead = 16 << 10
+// maxReadAhead is how many bytes a client may send while its request is open. Clients send one request at a time; bytes
+// ahead are buffered only so that a disconnection behind them is noticed.
+const maxReadAhead = 16 << 10
 
-// watchBuffer is read at a time meanwhile.
-const watchBuffer = 512
+// watchBufferSize is how many bytes awaitDisconnect reads at once.
+const watchBufferSize = 512
 
-var errFlood = errors.New("too much was sent ahead of an answer")
+var errReadAheadFull = errors.New("too much was sent ahead of a response")
 
-// clientConn is a client's connection. While a request is open on it, the server waits for the client's leaving in a
-// read of one byte, and the first byte that comes ends that wait: of whoever sends more it would never see the leaving.
-// So what comes then is kept here, and the wait goes on.
+// clientConn is a client's connection. While a request is open on it, the server detects a disconnection by a read of
+// one byte, and any byte that arrives ends that read: it would never notice that a client that has sent more
+// disconnects. So such bytes are buffered here, and the read goes on.
 type clientConn struct {
 	net.Conn
-	begun atomic.Bool // something has been read since it was new or idle
-	since time.Time   // its accept; zero once a request has been answered on it. The table's.
+	requestBegun atomic.Bool // something has been read since the connection was new or idle
+	acceptedAt   time.Time   // zero once a request has been answered; guarded by connTable.mu
 
-	// Of the server, which reads in one goroutine at a time.
-	active bool   // a request is open
-	ahead  []byte // read behind that request
+	// Used by the server, which reads in one goroutine at a time.
+	requestOpen bool   // a request is open
+	readAhead   []byte // bytes received behind that request
 }
 
 func (c *clientConn) Read(p []byte) (int, error) {
 	switch {
-	case c.active && len(p) == 1:
-		return 0, c.watch()
-	case len(c.ahead) > 0:
-		n := copy(p, c.ahead)
-		c.ahead = c.ahead[n:]
+	case c.requestOpen && len(p) == 1:
+		return 0, c.awaitDisconnect()
+	case len(c.readAhead) > 0:
+		n := copy(p, c.readAhead)
+		c.readAhead = c.readAhead[n:]
 		return n, nil
 	}
 	n, err := c.Conn.Read(p)
-	if ne, ok := err.(net.Error); ok && ne.Timeout() && !c.begun.Load() && pending(c.Conn) == waiting {
-		// A request has come in the same moment as the end of the time that the client may be silent.
-		if err := c.SetReadDeadline(time.Now().Add(headTime)); err != nil {
+	if ne, ok := err.(net.Error); ok && ne.Timeout() && !c.requestBegun.Load() && peekSocket(c.Conn) == dataAvailable {
+		// A request has arrived at the same moment as the idle time-out.
+		if err := c.SetReadDeadline(time.Now().Add(headTimeout)); err != nil {
 			return 0, err
 		}
 		n, err = c.Conn.Read(p)
 	}
 	if n > 0 {
-		c.begun.Store(true)
+		c.requestBegun.Store(true)
 	}
 	return n, err
 }
 
-// watch reads until the client leaves, or until the server ends the wait by a deadline.
-func (c *clientConn) watch() error {
+// awaitDisconnect reads until the client disconnects, or until the server ends the wait by a deadline.
+func (c *clientConn) awaitDisconnect() error {
 	for {
-		var buf [watchBuffer]byte
+		var buf [watchBufferSize]byte
 		n, err := c.Conn.Read(buf[:])
-		c.ahead = append(c.ahead, buf[:n]...)
-		if err == nil && len(c.ahead) > maxAhead {
-			err = errFlood
+		c.readAhead = append(c.readAhead, buf[:n]...)
+		if err == nil && len(c.readAhead) > maxReadAhead {
+			err = errReadAheadFull
 		}
 		if ne, ok := err.(net.Error); ok && ne.Timeout() {
 			return err
 		}
 		if err != nil {
-			c.ahead = nil
+			c.readAhead = nil
 			return err
 		}
 	}
 }
 
-// SyscallConn lets pending look at the connection below.
+// SyscallConn gives peekSocket the connection below.
 func (c *clientConn) SyscallConn() (syscall.RawConn, error) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -128,122 +128,122 @@
 	return sc.SyscallConn()
 }
 
-// connTable bounds the connections that clients hold. Where one comes too many, the one that has been silent for
-// longest is closed, be it between requests or without a first one. One with a request open is never closed.
+// connTable bounds the number of clients' connections. Above the limit the one that has been idle longest is closed,
+// whether between requests or before its first. A connection with an open request is never closed.
 type connTable struct {
-	most int
+	maxOpen int
 
-	mu    sync.Mutex
-	open  map[net.Conn]*list.Element // nil while a request is open
-	quiet *list.List                 // of net.Conn, the longest silent first
+	mu   sync.Mutex
+	open map[net.Conn]*list.Element // nil while a request is open
+	idle *list.List                 // of net.Conn, the longest idle first
 }
 
-func newConnTable(most int) *connTable {
-	return &connTable{most: most, open: map[net.Conn]*list.Element{}, quiet: list.New()}
+func newConnTable(maxOpen int) *connTable {
+	return &connTable{maxOpen: maxOpen, open: map[net.Conn]*list.Element{}, idle: list.New()}
 }
 
-// note is the server's hook: it hears of every change of a connection's state, of a new one before it is served.
-func (t *connTable) note(c net.Conn, state http.ConnState) {
+// connStateChanged is the server's ConnState hook. It is called for a new connection before that is served.
+func (t *connTable) connStateChanged(c net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.open[c]; e != nil {
-		t.quiet.Remove(e)
+		t.idle.Remove(e)
 	}
 	cc, ok := c.(*clientConn)
 	switch state {
 	case http.StateNew, http.StateIdle:
 		if ok && state == http.StateIdle {
-			cc.active, cc.since = false, time.Time{}
-			cc.begun.Store(len(cc.ahead) > 0) // what else was read until here is answered
+			cc.requestOpen, cc.acceptedAt = false, time.Time{}
+			cc.requestBegun.Store(len(cc.readAhead) > 0) // all else that was read is answered
 		}
-		t.open[c] = t.quiet.PushBack(c)
+		t.open[c] = t.idle.PushBack(c)
 	case http.StateActive:
 		if ok {
-			cc.active = true
+			cc.requestOpen = true
 		}
 		t.open[c] = nil
 	default:
 		delete(t.open, c)
 	}
-	if state == http.StateNew && len(t.open) > t.most {
+	if state == http.StateNew && len(t.open) > t.maxOpen {
 		t.mu.Unlock()
-		runtime.Gosched() // what has come on the connections taken just now is read first
+		runtime.Gosched() // lets the data on connections accepted just now be read first
 		t.mu.Lock()
-		t.shrink()
+		t.closeExcess()
 	}
 }
 
-// shrink closes the longest silent until the rest are few enough. One on which something has come since its last
-// answer, be it read or not, is spared, if there is another: closing it would lose the request that has begun there.
-func (t *connTable) shrink() {
-	for over := len(t.open) - t.most; over > 0 && t.quiet.Len() > 0; over-- {
-		e := t.quiet.Front()
-		for e.Next() != nil && asking(e.Value.(net.Conn)) {
+// closeExcess closes the longest idle connections down to the limit. One on which data has arrived since its last
+// response, read or not, is spared if there is another: closing it would lose the request that has begun.
+func (t *connTable) closeExcess() {
+	for over := len(t.open) - t.maxOpen; over > 0 && t.idle.Len() > 0; over-- {
+		e := t.idle.Front()
+		for e.Next() != nil && hasPendingRequest(e.Value.(net.Conn)) {
 			e = e.Next()
 		}
-		c := t.quiet.Remove(e).(net.Conn)
+		c := t.idle.Remove(e).(net.Conn)
 		delete(t.open, c)
 		c.Close()
 	}
 }
 
-// closeQuiet closes the connections on which nothing has come since their last answer, and those that are new and have
-// been silent for some time. It tells how many are left.
-func (t *connTable) closeQuiet(silent time.Duration) int {
+// closeIdle closes the connections on which nothing has arrived since their last response, and new ones that have been
+// silent for the given time. It returns how many remain.
+func (t *connTable) closeIdle(silent time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var after *list.Element
-	for e := t.quiet.Front(); e != nil; e = after {
+	for e := t.idle.Front(); e != nil; e = after {
 		after = e.Next()
 		c := e.Value.(net.Conn)
-		if cc, ok := c.(*clientConn); asking(c) || ok && !cc.since.IsZero() && time.Since(cc.since) < silent {
+		if cc, ok := c.(*clientConn); hasPendingRequest(c) || ok && !cc.acceptedAt.IsZero() && time.Since(cc.acceptedAt) < silent {
 			continue
 		}
-		t.quiet.Remove(e)
+		t.idle.Remove(e)
 		delete(t.open, c)
 		c.Close()
 	}
 	return len(t.open)
 }
 
-// asking tells whether some of a request has come on a connection that counts as silent.
-func asking(c net.Conn) bool {
-	seen := pending(c) // first, as what it sees may be read right behind
+// hasPendingRequest reports whether a part of a request has arrived on a connection that counts as idle.
+func hasPendingRequest(c net.Conn) bool {
+	seen := peekSocket(c) // before requestBegun, as the data it sees may be read right after
 	cc, ok := c.(*clientConn)
-	return seen == waiting || ok && cc.begun.Load()
+	return seen == dataAvailable || ok && cc.requestBegun.Load()
 }
 
-// sight is what can be seen on a connection without taking anything from it.
-type sight uint8
+// socketState is the state of a connection as seen without reading from it.
+type socketState uint8
 
 const (
-	clean   sight = iota // nothing has come
-	waiting              // something has come
-	ended                // the other side has closed it, or it is broken
+	noData        socketState = iota // open, no data to read
+	dataAvailable                    // data to read
+	peerClosed                       // closed by the peer, or broken
 )
 
-// pending looks whether something has come on a connection that nobody has read yet.
-func pending(c net.Conn) sight {
+// peekSocket returns the state of a connection, without blocking.
+func peekSocket(c net.Conn) socketState {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
-		return ended
+		return peerClosed
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		return ended
+		return peerClosed
 	}
-	seen := ended
+	seen := peerClosed
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		switch n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); {
 		case n > 0:
-			seen = waiting
+			seen = dataAvailable
 		case err == syscall.EAGAIN || err == syscall.EINTR:
-			seen = clean
+			seen = noData
 		}
 	})
 	if err != nil {
-		return ended
+		return peerClosed
 	}
 	return seen
 }
--- a/internal/frontdoor/crossing_test.go
+++ b/internal/frontdoor/crossing_test.go
@@ -18,14 +18,14 @@
 
 // The tests of this file make two events cross in the order that does harm, every time.
 
-// A client that sends a second request behind the first and leaves has left both: the first ends, the second is not
-// begun. The server's own watch for its leaving ends with the first byte of the second request.
-func TestAClientThatLeavesBehindAPipelinedRequest(t *testing.T) {
+// A client that sends a second request behind the first and then disconnects has given up both: the first ends, the
+// second is not begun. The server's own watch for its disconnecting ends with the first byte of the second request.
+func TestAClientThatDisconnectsBehindAPipelinedRequest(t *testing.T) {
 	for how, leave := range leaving {
 		for ahead, together := range map[string]bool{"in one piece": true, "behind": false} {
 			t.Run(how+" "+ahead, func(t *testing.T) {
 				g := script(nil)
-				d := startDoor(t, g)
+				d := startInstance(t, g)
 				conn := dialAll(t, d.addr, 1)[0]
 				first, second := d.text(t, "look", "00000000000000a1"), d.text(t, "pay", "00000000000000a2")
 				if together {
@@ -33,7 +33,7 @@
 				}
 				io.WriteString(conn, first)
 				if id := next[gateway.Request](t, g).ID; id != 0xa1 {
-					t.Fatalf("the gateway heard of %x first", id)
+					t.Fatalf("the gateway was notified of %x first", id)
 				}
 				io.WriteString(conn, second)
 				leave(conn)
@@ -44,9 +44,9 @@
 				if err := <-d.done; err != nil { // from here on nothing can come of the connection any more
 					t.Error(err)
 				}
-				for len(g.heard) > 0 {
-					if r, ok := (<-g.heard).(gateway.Request); ok {
-						t.Errorf("request %x was begun after its client had left", r.ID)
+				for len(g.received) > 0 {
+					if r, ok := (<-g.received).(gateway.Request); ok {
+						t.Errorf("request %x was begun after its client had disconnected", r.ID)
 					}
 				}
 			})
@@ -54,7 +54,7 @@
 	}
 }
 
-// What is sent ahead of an answer and not left behind is served next, in its order.
+// What is sent ahead of a response by a client that stays is served next, in its order.
 func TestRequestsSentAheadAreServedInOrder(t *testing.T) {
 	goOn := make(chan bool, 1)
 	read := make(chan bool, 3)
@@ -63,7 +63,7 @@
 		<-goOn
 		io.WriteString(w, r.Header.Get("Request-Id"))
 	})
-	d := startDoor(t, nil, addr)
+	d := startInstance(t, nil, addr)
 	conn := dialAll(t, d.addr, 1)[0]
 	io.WriteString(conn, d.text(t, "look", "00000000000000a1"))
 	await(t, read, "the first attempt")
@@ -85,11 +85,11 @@
 // What a client may send ahead is bounded: more ends its request and its connection.
 func TestWhatIsSentAheadIsBounded(t *testing.T) {
 	g := script(nil)
-	d := startDoor(t, g)
+	d := startInstance(t, g)
 	conn := dialAll(t, d.addr, 1)[0]
 	io.WriteString(conn, d.text(t, "look", "00000000000000a1"))
 	next[gateway.Request](t, g)
-	go io.WriteString(conn, strings.Repeat("GET /look HTTP/1.1\r\n", 2*maxAhead/20))
+	go io.WriteString(conn, strings.Repeat("GET /look HTTP/1.1\r\n", 2*maxReadAhead/20))
 	next[gateway.ClientGone](t, g)
 	awaitEnd(t, conn)
 }
@@ -118,7 +118,7 @@
 
 // Connections that the system has accepted, and nobody has taken when the listening ends, are served.
 func TestTheBacklogIsServedAtTheEnd(t *testing.T) {
-	d := openDoor(t, script(refuseAll), &held{TCPListener: listen(t), open: make(chan bool)})
+	d := serveInstance(t, script(refuseAll), &held{TCPListener: listen(t), open: make(chan bool)})
 	conns := dialAll(t, d.addr, 3)
 	for i, c := range conns {
 		io.WriteString(c, d.text(t, "look", fmt.Sprintf("00000000000000a%d", i)))
@@ -137,7 +137,7 @@
 
 // slowReads gives out connections whose reads of requests wait, once the test says so, until somebody looks at what has
 // come on the connection, or closes it: whatever comes before is there and not read. Requests are read into a buffer of
-// the server's; shorter reads are those that watch for the client's leaving.
+// the server's; shorter reads are those that watch for the client's disconnecting.
 type slowReads struct {
 	*net.TCPListener
 	wait   chan bool // closed: from now on
@@ -178,9 +178,9 @@
 	return c.Conn.(*net.TCPConn).SyscallConn()
 }
 
-// A request that has come on a kept connection, and is not read yet, when the quiet connections are closed at the end
+// A request that has come on a pooled connection, and is not read yet, when the idle connections are closed at the end
 // is served.
-func TestARequestOnAKeptConnectionIsServedAtTheEnd(t *testing.T) {
+func TestARequestOnAnIdleConnectionIsServedAtTheEnd(t *testing.T) {
 	ln := &slowReads{TCPListener: listen(t), wait: make(chan bool), looked: make(chan bool)}
 	g := script(func(ev gateway.Event) []gateway.Action {
 		if r, ok := ev.(gateway.Request); ok {
@@ -191,7 +191,7 @@
 		}
 		return nil
 	})
-	d := openDoor(t, g, ln)
+	d := serveInstance(t, g, ln)
 	conn := dialAll(t, d.addr, 1)[0]
 	conn.SetReadDeadline(time.Now().Add(patient))
 	answers := bufio.NewReader(conn)
@@ -219,11 +219,11 @@
 	loop.Update(ready(raw(t, func(_ int, conn net.Conn) { io.WriteString(conn, okReply) })))
 	clients := NewClients(c, loop)
 	past := time.Now().Add(-time.Second)
-	clients.killed.Store(&past)
+	clients.killTime.Store(&past)
 	server := httptest.NewServer(clients)
 	defer server.Close()
-	d := &door{addr: strings.TrimPrefix(server.URL, "http://")}
-	if res, _ := do(t, d.ask(t, "pay", nil)); res.StatusCode != http.StatusServiceUnavailable || !res.Close {
+	d := &testInstance{addr: strings.TrimPrefix(server.URL, "http://")}
+	if res, _ := do(t, d.newRequest(t, "pay", nil)); res.StatusCode != http.StatusServiceUnavailable || !res.Close {
 		t.Errorf("%s, close %v", res.Status, res.Close)
 	}
 }
@@ -244,7 +244,7 @@
 		t.Errorf("with nothing there: %d bytes", n)
 	}
 	io.WriteString(far, "GET /look")
-	for end := time.Now().Add(patient); pending(inner) != waiting; {
+	for end := time.Now().Add(patient); peekSocket(inner) != dataAvailable; {
 		if time.Now().After(end) {
 			t.Fatal("nothing came")
 		}
--- a/internal/frontdoor/discovery_test.go
+++ b/internal/frontdoor/discovery_test.go
@@ -15,19 +15,19 @@
 	"herontiller/internal/gateway"
 )
 
-// prompt is the pace of an agent that may take long over an ask.
-var prompt = pace{grace: time.Duration(float64(patient) / agentAsk)}
+// prompt is the retry policy for an agent that may take long over a request.
+var prompt = retryPolicy{grace: time.Duration(float64(patient) / agentTimeoutFraction)}
 
 const entry = `{"host":"s-1","dial":"127.0.0.1:%d","site":"a","class":"m2","block":3,"health":"%s","share":1.0,"born_ms":0}`
 
-// A watch that is silent, ends or says what cannot be read is given up, and the next one asks from the version
-// that was heard last: nothing that discovery told may be lost on the way, a drain least of all.
+// A watch that is silent, ends or says what cannot be read is given up, and the next one requests from the version
+// that was received last: nothing that discovery sent may be lost on the way, a drain least of all.
 func TestWatchGoesOnWhereItWas(t *testing.T) {
-	asked := make(chan string, 10)
+	requested := make(chan string, 10)
 	n := 0
 	addr := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		n++
-		asked <- r.URL.RawQuery
+		requested <- r.URL.RawQuery
 		switch n {
 		case 1:
 			fmt.Fprintf(w, `{"seq":42,"whole":true,"hosts":[`+entry+"]}\n", 7, "Ready")
@@ -44,18 +44,18 @@
 	for want, wantSeq := range []int64{42, 42, 43} {
 		ctx, cancel := context.WithTimeout(t.Context(), patient)
 		err := f.watch(ctx)
-		if err == nil || ctx.Err() != nil || f.from != wantSeq {
-			t.Errorf("watch %d ended with %v at version %d, want %d", want+1, err, f.from, wantSeq)
+		if err == nil || ctx.Err() != nil || f.version != wantSeq {
+			t.Errorf("watch %d ended with %v at version %d, want %d", want+1, err, f.version, wantSeq)
 		}
 		cancel()
 	}
 	for i, want := range []string{"watch=1&from=41", "watch=1&from=42", "watch=1&from=42"} {
-		if got := <-asked; got != want {
-			t.Errorf("watch %d asked %q, want %q", i+1, got, want)
+		if got := <-requested; got != want {
+			t.Errorf("watch %d requested %q, want %q", i+1, got, want)
 		}
 	}
 	if a, b := <-lists, <-lists; !a.Whole || a.Hosts[0].Block != 3 || b.Hosts[0].Health != "Terminating" {
-		t.Errorf("heard %+v and %+v", a, b)
+		t.Errorf("received %+v and %+v", a, b)
 	}
 }
 
@@ -65,13 +65,13 @@
 		for range 12 {
 			fmt.Fprintln(w)
 			w.(http.Flusher).Flush()
-			time.Sleep(agentSilence / 8)
+			time.Sleep(agentIdleTimeout / 8)
 		}
 		fmt.Fprintln(w, `{"seq":50,"whole":true,"hosts":[]}`)
 	})
 	f := newFollower(&http.Transport{}, prompt, addr, 1, func(EndpointList) {})
-	if err := f.watch(t.Context()); f.from != 50 {
-		t.Errorf("ended with %v at version %d", err, f.from)
+	if err := f.watch(t.Context()); f.version != 50 {
+		t.Errorf("ended with %v at version %d", err, f.version)
 	}
 }
 
@@ -106,11 +106,11 @@
 	}
 	two := first.Backends[1].ID
 	l.Update(EndpointList{Hosts: []Endpoint{e("s-2", "127.0.0.1:28", "Ready", hourAgo)}})
-	if again := next[gateway.BackendList](t, g); again.Backends[0].ID != two || b.ready(two) == nil || b.ready(two).addr != "127.0.0.1:28" {
-		t.Errorf("moved: %+v, ready at %+v", again, b.ready(two))
+	if again := next[gateway.BackendList](t, g); again.Backends[0].ID != two || b.readyEndpoint(two) == nil || b.readyEndpoint(two).addr != "127.0.0.1:28" {
+		t.Errorf("moved: %+v, ready at %+v", again, b.readyEndpoint(two))
 	}
 	l.Update(EndpointList{Whole: true}) // what a whole list lacks is gone
-	if b.ready(two) != nil {
+	if b.readyEndpoint(two) != nil {
 		t.Error("a backend that the whole list lacks may still be sent to")
 	}
 }
@@ -119,18 +119,18 @@
 // changes, from its own version on. The same holds where one discovery's versions go back.
 func TestAMoveTakesTheWholeList(t *testing.T) {
 	discovery := func(answer func(r *http.Request) string) (string, chan string) {
-		asked := make(chan string, 10)
+		requested := make(chan string, 10)
 		return serve(t, func(w http.ResponseWriter, r *http.Request) {
-			asked <- r.URL.RequestURI()
+			requested <- r.URL.RequestURI()
 			fmt.Fprintln(w, answer(r))
 			if r.URL.RawQuery != "" {
 				w.(http.Flusher).Flush()
 				<-r.Context().Done()
 			}
-		}), asked
+		}), requested
 	}
-	first, askedFirst := discovery(func(*http.Request) string { return `{"seq":900,"whole":false,"hosts":[]}` })
-	second, askedSecond := discovery(func(r *http.Request) string {
+	first, requestedFirst := discovery(func(*http.Request) string { return `{"seq":900,"whole":false,"hosts":[]}` })
+	second, requestedSecond := discovery(func(r *http.Request) string {
 		if r.URL.RawQuery == "watch=1&from=7" {
 			return `{"seq":2,"whole":false,"hosts":[]}` // it has begun anew
 		}
@@ -144,20 +144,20 @@
 		Follow(ctx, c, moves, func(l EndpointList) { lists <- l })
 		close(ended)
 	}()
-	if got := <-askedFirst; got != "/v1/endpoints?watch=1&from=800" {
-		t.Errorf("the first was asked for %s", got)
+	if got := <-requestedFirst; got != "/v1/endpoints?watch=1&from=800" {
+		t.Errorf("the first received a request for %s", got)
 	}
 	if l := <-lists; l.Seq != 900 {
-		t.Errorf("the first told %+v", l)
+		t.Errorf("the first sent %+v", l)
 	}
 	moves <- second
 	for i, want := range []string{"/v1/endpoints", "/v1/endpoints?watch=1&from=7", "/v1/endpoints"} {
-		if got := <-askedSecond; got != want {
+		if got := <-requestedSecond; got != want {
 			t.Errorf("question %d to the second was %s, want %s", i+1, got, want)
 		}
 	}
 	if l := <-lists; l.Seq != 7 || !l.Whole {
-		t.Errorf("the second told %+v", l)
+		t.Errorf("the second sent %+v", l)
 	}
 	cancel()
 	<-ended
@@ -168,23 +168,23 @@
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// step is what discovery does with one ask.
-type step string
+// response is what discovery does with one request.
+type response string
 
 const (
-	refuses   step = "refuses"            // 503
-	resets    step = "resets"             // the connection breaks
-	unheard   step = "says nothing"       // not even a head
-	headOnly  step = "sends a head only"  // and is silent then
-	drips     step = "drips"              // a list that never ends
-	goesQuiet step = "tells, goes silent" // its first list, and nothing from then on
-	tells     step = "tells"              // and goes on
+	refuses   response = "refuses"            // 503
+	resets    response = "resets"             // the connection breaks
+	unheard   response = "says nothing"       // not even a head
+	headOnly  response = "sends a head only"  // and is silent then
+	drips     response = "drips"              // a list that never ends
+	goesQuiet response = "tells, goes silent" // its first list, and nothing from then on
+	tells     response = "tells"              // and goes on
 )
 
-// scriptedDiscovery is a discovery that takes one step for each ask, and tells from then on. What it has changed since is in all
-// lists that it tells; it is what a whole list holds, too.
+// scriptedDiscovery is a discovery that takes one step for each request, and sends lists from then on. What it has
+// changed since is in all lists that it sends; it is what a whole list holds, too.
 type scriptedDiscovery struct {
-	steps []step
+	steps []response
 	asks  int
 	seq   atomic.Int64
 }
@@ -255,31 +255,32 @@
 	return ok(&lines{r.Context(), list, do == tells, r.URL.RawQuery == ""})
 }
 
-// A change that discovery has, and that could be asked for, is known within toldAfter, whatever was refused, failed or
-// given up meanwhile: the change comes in the moment in which the last watch has said its last word, and what the next
-// asks meet is scripted. So is where the door starts, or is moved by SIGHUP in the middle of an ask.
+// A change that discovery has, and that could be requested, is known within stalenessBound, whatever was refused,
+// failed or given up meanwhile: the change comes in the moment in which the last watch has said its last word, and
+// what the next requests meet is scripted. So is where the instance starts, or is moved by SIGHUP in the middle of a
+// request.
 func TestAChangeIsKnownInTime(t *testing.T) {
 	agent := Config{Settings: gateway.Settings{FrontDoors: 350, DrainGrace: 500 * time.Millisecond}}
-	service := func(doors int) Config {
-		return Config{Settings: gateway.Settings{FrontDoors: doors, DrainGrace: 500 * time.Millisecond, AskForList: true}}
+	service := func(instances int) Config {
+		return Config{Settings: gateway.Settings{FrontDoors: instances, DrainGrace: 500 * time.Millisecond, AskForList: true}}
 	}
 	for _, c := range []struct {
 		name   string
 		config Config
 		moved  bool
-		steps  []step
+		steps  []response
 	}{
-		{"a silent watch", agent, false, []step{goesQuiet}},
-		{"a silent watch, and the next silent at once", agent, false, []step{goesQuiet, headOnly}},
-		{"a silent watch, refusals and breaks", agent, false, []step{goesQuiet, refuses, resets, unheard, refuses, resets}},
-		{"a silent watch, then a list that drips", agent, false, []step{goesQuiet, drips}},
-		{"a start at an agent that is silent twice", agent, false, []step{unheard, unheard, headOnly}},
-		{"a move in the middle of an ask", agent, true, []step{unheard, refuses, headOnly}},
-		{"a move and a whole list that drips", agent, true, []step{unheard, drips, resets}},
-		{"a silent watch of a service", service(4), false, []step{goesQuiet}},
-		{"a silent watch of a service that then refuses", service(30), false, []step{goesQuiet, refuses}},
-		{"a start at a service that refuses twice", service(30), false, []step{refuses, refuses}},
-		{"a move at a service", service(30), true, []step{unheard, refuses, resets}},
+		{"a silent watch", agent, false, []response{goesQuiet}},
+		{"a silent watch, and the next silent at once", agent, false, []response{goesQuiet, headOnly}},
+		{"a silent watch, refusals and breaks", agent, false, []response{goesQuiet, refuses, resets, unheard, refuses, resets}},
+		{"a silent watch, then a list that drips", agent, false, []response{goesQuiet, drips}},
+		{"a start at an agent that is silent twice", agent, false, []response{unheard, unheard, headOnly}},
+		{"a move in the middle of a request", agent, true, []response{unheard, refuses, headOnly}},
+		{"a move and a whole list that drips", agent, true, []response{unheard, drips, resets}},
+		{"a silent watch of a service", service(4), false, []response{goesQuiet}},
+		{"a silent watch of a service that then refuses", service(30), false, []response{goesQuiet, refuses}},
+		{"a start at a service that refuses twice", service(30), false, []response{refuses, refuses}},
+		{"a move at a service", service(30), true, []response{unheard, refuses, resets}},
 	} {
 		for range 20 { // pauses are drawn
 			synctest.Test(t, func(t *testing.T) {
@@ -304,7 +305,7 @@
 				}
 				for <-known != 2 {
 				}
-				if took := time.Since(start); took > toldAfter {
+				if took := time.Since(start); took > stalenessBound {
 					t.Errorf("%s: known after %v", c.name, took)
 				}
 				stop()
@@ -331,21 +332,21 @@
 		"watched": (*follower).watch,
 	} {
 		hosts := 0
-		f := newFollower(&http.Transport{}, prompt, addr, 0, func(l EndpointList) { hosts = len(usable(l.Hosts)) })
+		f := newFollower(&http.Transport{}, prompt, addr, 0, func(l EndpointList) { hosts = len(validEndpoints(l.Hosts)) })
 		err := take(f, t.Context())
-		if hosts != 1024 || f.from != 9 {
-			t.Errorf("%s: %d hosts of version %d, %v", how, hosts, f.from, err)
+		if hosts != 1024 || f.version != 9 {
+			t.Errorf("%s: %d hosts of version %d, %v", how, hosts, f.version, err)
 		}
 	}
 }
 
-// Moves that come while an ask is out, twice in a row, and to an address that says nothing, leave the last one followed:
-// what the ones before still say is not heard.
-func TestMovesInTheMiddleOfAnAsk(t *testing.T) {
-	asked := make(chan string, 100)
+// Moves that come while a request is out, twice in a row, and to an address that says nothing, leave the last one
+// followed: what the ones before still say is dropped.
+func TestMovesInTheMiddleOfARequest(t *testing.T) {
+	requested := make(chan string, 100)
 	silent := func(name string) string {
 		return serve(t, func(_ http.ResponseWriter, r *http.Request) {
-			asked <- name
+			requested <- name
 			<-r.Context().Done()
 		})
 	}
@@ -364,15 +365,15 @@
 		Follow(ctx, Config{Discovery: silent("first")}, moves, func(l EndpointList) { lists <- l })
 		close(ended)
 	}()
-	if got := <-asked; got != "first" {
-		t.Errorf("%s was asked", got)
+	if got := <-requested; got != "first" {
+		t.Errorf("%s received a request", got)
 	}
 	moves <- silent("second")
-	for got := "first"; got == "first"; got = <-asked { // it may have been asked again before the move
+	for got := "first"; got == "first"; got = <-requested { // it may have been asked again before the move
 	}
 	moves <- last
 	if l := <-lists; l.Seq != 5 || !l.Whole || len(l.Hosts) != 1 || l.Hosts[0].Health != "Terminating" {
-		t.Errorf("the last told %+v", l)
+		t.Errorf("the last sent %+v", l)
 	}
 	cancel()
 	<-ended
--- a/internal/frontdoor/fleet_discovery_test.go
+++ b/internal/frontdoor/fleet_discovery_test.go
@@ -14,18 +14,19 @@
 	"herontiller/internal/gateway"
 )
 
-// busyDiscovery is a discovery service of fixed capacity: it serves one ask after another, lets each wait in turn for
-// askWait at most, and refuses at once those that would have to wait for longer. That is how the bench's does it. While it
-// is down it refuses connections, or, if holds, lets each ask wait for askWait and refuses it then, as the bench's does.
+// busyDiscovery is a discovery service of fixed capacity: it serves one request after another, lets each wait in its
+// queue for maxQueueWait at most, and refuses at once those that would have to wait for longer. That is how the
+// bench's does it. While it is down it refuses connections, or, if holds, lets each request wait for maxQueueWait and
+// refuses it then, as the bench's does.
 type busyDiscovery struct {
-	each  time.Duration // that an ask takes it
+	each  time.Duration // that a request takes it
 	holds bool
 
 	mu   sync.Mutex
 	free time.Time // when it will have served all that wait
 	up   context.Context
 	cut  context.CancelFunc // ends all watches
-	idle time.Duration      // time in which nobody asked although it was up
+	idle time.Duration      // time without a request although it was up
 }
 
 var errDown = errors.New("connection refused")
@@ -58,8 +59,8 @@
 	d.cut()
 }
 
-// turn takes a place in the queue, if there is one.
-func (d *busyDiscovery) turn() (wait time.Duration, up context.Context, err error) {
+// enqueue takes a position in the queue, if there is one.
+func (d *busyDiscovery) enqueue() (wait time.Duration, up context.Context, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
@@ -71,7 +72,7 @@
 		d.free = now
 	}
 	wait = d.free.Sub(now) + d.each
-	if wait > askWait {
+	if wait > maxQueueWait {
 		return 0, nil, nil
 	}
 	d.free = d.free.Add(d.each)
@@ -80,9 +81,9 @@
 
 func (d *busyDiscovery) RoundTrip(r *http.Request) (*http.Response, error) {
 	refusal := &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}
-	wait, up, err := d.turn()
+	wait, up, err := d.enqueue()
 	switch {
-	case err != nil && d.holds && sleep(r.Context(), askWait):
+	case err != nil && d.holds && sleep(r.Context(), maxQueueWait):
 		return refusal, nil
 	case err != nil:
 		return nil, err
@@ -100,14 +101,14 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(&lines{ctx, list, !whole, whole})}, nil
 }
 
-// followed is a follower that runs, and when it last heard that its list was current.
+// followed is a follower that runs, and when its list was last confirmed.
 type followed struct {
 	started time.Time
 	moves   chan string
 	end     func()
 
 	mu    sync.Mutex
-	first time.Time // when it heard the first list
+	first time.Time // when it received the first list
 	last  time.Time
 }
 
@@ -115,7 +116,7 @@
 func follow(d http.RoundTripper) *followed {
 	config := Config{Discovery: "discovery", Settings: gateway.Settings{FrontDoors: 300, DrainGrace: 400 * time.Millisecond,
 		AskForList: true}}
-	config.Conns.MustAsk = 10 * time.Second
+	config.Conns.StaleAfter = 10 * time.Second
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	f := &followed{started: time.Now(), moves: make(chan string)}
@@ -137,24 +138,24 @@
 	return f
 }
 
-// heard gives the times of the first and the last list; zero: there was none.
-func (f *followed) heard() (first, last time.Time) {
+// listTimes gives the times of the first and the last list; zero: there was none.
+func (f *followed) listTimes() (first, last time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.first, f.last
 }
 
-// late counts the followers that have not heard anything after a moment, and fails where there are any.
+// late counts the followers that have received nothing since a moment, and fails where there are any.
 func late(t *testing.T, fleet []*followed, after time.Time, what string) {
 	t.Helper()
 	count := 0
 	for _, f := range fleet {
-		if _, last := f.heard(); last.Before(after) {
+		if _, last := f.listTimes(); last.Before(after) {
 			count++
 		}
 	}
 	if count > 0 {
-		t.Errorf("%s: %d of %d have heard nothing in the %v since", what, count, len(fleet), time.Since(after))
+		t.Errorf("%s: %d of %d have received nothing in the %v since", what, count, len(fleet), time.Since(after))
 	}
 }
 
@@ -178,31 +179,31 @@
 		d := newBusyDiscovery(40 * time.Millisecond)
 		fleet := followAll(d, 300)
 		time.Sleep(30 * time.Second)
-		late(t, fleet, time.Now().Add(-sharedSilence), "at the start")
+		late(t, fleet, time.Now().Add(-serviceIdleTimeout), "at the start")
 		for tenth := range 10 {
 			part := fleet[30*tenth : 30*tenth+30]
 			endAll(part)
 			copy(part, followAll(d, 30))
 			time.Sleep(1500 * time.Millisecond)
 		}
-		time.Sleep(toldAfter)
+		time.Sleep(stalenessBound)
 		slow := 0
 		for _, f := range fleet {
-			if first, _ := f.heard(); first.IsZero() || first.Sub(f.started) > toldAfter/2 {
+			if first, _ := f.listTimes(); first.IsZero() || first.Sub(f.started) > stalenessBound/2 {
 				slow++
 			}
 		}
 		if slow > 0 {
-			t.Errorf("%d of %d new processes had no list within %v", slow, len(fleet), toldAfter/2)
+			t.Errorf("%d of %d new processes had no list within %v", slow, len(fleet), stalenessBound/2)
 		}
-		late(t, fleet, time.Now().Add(-sharedSilence), "at the end")
+		late(t, fleet, time.Now().Add(-serviceIdleTimeout), "at the end")
 		endAll(fleet)
 	})
 }
 
-// All of a fleet are moved to another discovery at once, which takes the service 42 s: two asks each. It is kept busy
-// until all are done, and nine in ten of the processes that start meanwhile have a list within the time in which the pages
-// want them to be ready, though most of the fleet has to wait for longer.
+// All of a fleet are moved to another discovery at once, which takes the service 42 s: two requests each. It is kept
+// busy until all are done, and nine in ten of the processes that start meanwhile have a list within the time in which
+// the pages want them to be ready, though most of the fleet has to wait for longer.
 func TestAMoveOfAFleetLeavesRoomForNewProcesses(t *testing.T) {
 	const each, readyWithin = 70 * time.Millisecond, 10 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -215,10 +216,10 @@
 		}
 		time.Sleep(3 * time.Second)
 		started := followAll(second, 30)
-		time.Sleep(2 * toldAfter)
+		time.Sleep(2 * stalenessBound)
 		count := 0
 		for _, f := range started {
-			if first, _ := f.heard(); !first.IsZero() && first.Sub(f.started) <= readyWithin {
+			if first, _ := f.listTimes(); !first.IsZero() && first.Sub(f.started) <= readyWithin {
 				count++
 			}
 		}
@@ -226,9 +227,9 @@
 			t.Errorf("%d of 30 new processes had a list within %v", count, readyWithin)
 		}
 		work := 630 * each
-		time.Sleep(time.Until(start.Add(work + toldAfter)))
-		late(t, append(started, fleet...), time.Now().Add(-sharedSilence), "after a move")
-		if second.idle > 3*time.Second+toldAfter+work/20 { // before the first ask, and after the last one
+		time.Sleep(time.Until(start.Add(work + stalenessBound)))
+		late(t, append(started, fleet...), time.Now().Add(-serviceIdleTimeout), "after a move")
+		if second.idle > 3*time.Second+stalenessBound+work/20 { // before the first request, and after the last one
 			t.Errorf("the service was idle for %v", second.idle)
 		}
 		endAll(append(started, fleet...))
@@ -245,8 +246,8 @@
 	return m.second.RoundTrip(r)
 }
 
-// What the service can answer within toldAfter, it is asked in time: after it has been down for long, after all watches
-// broke at once, and after all of a fleet were moved.
+// What the service can answer within stalenessBound, it is asked in time: after it has been down for long, after all
+// watches broke at once, and after all of a fleet were moved.
 func TestNobodyIsLateWhereTheServiceCanAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -284,10 +285,10 @@
 				d := newBusyDiscovery(c.each)
 				fleet := followAll(d, 300)
 				time.Sleep(30 * time.Second)
-				late(t, fleet, time.Now().Add(-sharedSilence), "at the start")
+				late(t, fleet, time.Now().Add(-serviceIdleTimeout), "at the start")
 				c.do(d, fleet)
 				start := time.Now()
-				time.Sleep(toldAfter)
+				time.Sleep(stalenessBound)
 				late(t, fleet, start, c.name)
 				endAll(fleet)
 			})
@@ -307,7 +308,7 @@
 		time.Sleep(8 * time.Second)
 		d.start()
 		start := time.Now()
-		time.Sleep(300*each + retryMost + askWait)
+		time.Sleep(300*each + retryMax + maxQueueWait)
 		late(t, fleet, start, "down for 8 s")
 		endAll(fleet)
 	})
@@ -319,18 +320,18 @@
 		for _, line := range []string{"", `{"seq":7,"whole":false,"hosts":[]}`, "", ""} {
 			fmt.Fprintln(w, line)
 			w.(http.Flusher).Flush()
-			time.Sleep(agentSilence / 10)
+			time.Sleep(agentIdleTimeout / 10)
 		}
 	})
-	var heard []EndpointList
-	f := newFollower(&http.Transport{}, prompt, addr, 5, func(l EndpointList) { heard = append(heard, l) })
+	var received []EndpointList
+	f := newFollower(&http.Transport{}, prompt, addr, 5, func(l EndpointList) { received = append(received, l) })
 	err := f.watch(t.Context())
-	if len(heard) != 3 {
-		t.Fatalf("heard %+v, ended with %v", heard, err)
+	if len(received) != 3 {
+		t.Fatalf("received %+v, ended with %v", received, err)
 	}
-	for _, l := range heard {
+	for _, l := range received {
 		if l.Seq != 7 || l.Whole || len(l.Hosts) != 0 {
-			t.Errorf("heard %+v", l)
+			t.Errorf("received %+v", l)
 		}
 	}
 }
--- a/internal/frontdoor/frontdoor_test.go
+++ b/internal/frontdoor/frontdoor_test.go
@@ -49,15 +49,15 @@
 	return list
 }
 
-// door is a front door that serves on a port of the system's choosing.
-type door struct {
+// testInstance is an instance that serves on a port of the system's choosing.
+type testInstance struct {
 	addr string
 	loop *Loop
 	stop context.CancelFunc
 	done chan error
 }
 
-func startDoor(t testing.TB, decisions decider, addrs ...string) *door {
+func startInstance(t testing.TB, decisions decider, addrs ...string) *testInstance {
 	t.Helper()
 	c := config(t)
 	backends := NewBackends(c)
@@ -74,14 +74,14 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	d := &door{addr: ln.Addr().String(), loop: loop, stop: stop, done: make(chan error, 1)}
+	d := &testInstance{addr: ln.Addr().String(), loop: loop, stop: stop, done: make(chan error, 1)}
 	go func() { d.done <- NewClients(c, loop).Run(ctx, ln) }()
 	t.Cleanup(stop)
 	return d
 }
 
-// ask builds a good request; change alters it.
-func (d *door) ask(t testing.TB, class string, change func(*http.Request)) *http.Request {
+// newRequest builds a good request; change alters it.
+func (d *testInstance) newRequest(t testing.TB, class string, change func(*http.Request)) *http.Request {
 	t.Helper()
 	method, body := http.MethodGet, io.Reader(nil)
 	if class == "pay" {
@@ -170,14 +170,14 @@
 	return ln.Addr().String()
 }
 
-// scripted is a gateway that does as it is told and keeps what it hears.
+// scripted is a gateway that acts by its script and records the events it receives.
 type scripted struct {
-	heard chan gateway.Event
-	on    func(gateway.Event) []gateway.Action
+	received chan gateway.Event
+	on       func(gateway.Event) []gateway.Action
 }
 
 func (s *scripted) Handle(_ time.Duration, ev gateway.Event, as []gateway.Action) []gateway.Action {
-	s.heard <- ev
+	s.received <- ev
 	if s.on != nil {
 		as = append(as, s.on(ev)...)
 	}
@@ -185,7 +185,7 @@
 }
 
 func script(on func(gateway.Event) []gateway.Action) *scripted {
-	return &scripted{heard: make(chan gateway.Event, 100), on: on}
+	return &scripted{received: make(chan gateway.Event, 100), on: on}
 }
 
 // next is the next event of a type.
@@ -194,25 +194,25 @@
 	timeout := time.After(patient)
 	for {
 		select {
-		case ev := <-s.heard:
+		case ev := <-s.received:
 			if e, ok := ev.(E); ok {
 				return e
 			}
 		case <-timeout:
-			t.Fatalf("no %T was heard", *new(E))
+			t.Fatalf("no %T was received", *new(E))
 		}
 	}
 }
 
-// openDoor starts a door on a listener of the test's.
-func openDoor(t *testing.T, decisions decider, ln net.Listener, addrs ...string) *door {
+// serveInstance starts an instance on a listener of the test's.
+func serveInstance(t *testing.T, decisions decider, ln net.Listener, addrs ...string) *testInstance {
 	t.Helper()
 	c := config(t)
 	backends := NewBackends(c)
 	loop := newLoop(clock{time.Now()}, decisions, backends)
 	loop.Update(ready(addrs...))
 	ctx, stop := context.WithCancel(context.Background())
-	d := &door{addr: ln.Addr().String(), loop: loop, stop: stop, done: make(chan error, 1)}
+	d := &testInstance{addr: ln.Addr().String(), loop: loop, stop: stop, done: make(chan error, 1)}
 	go func() { d.done <- NewClients(c, loop).Run(ctx, ln) }()
 	t.Cleanup(stop)
 	return d
@@ -229,10 +229,10 @@
 }
 
 // text is a good request as it stands on the wire.
-func (d *door) text(t *testing.T, class, id string) string {
+func (d *testInstance) text(t *testing.T, class, id string) string {
 	t.Helper()
 	var text strings.Builder
-	if err := d.ask(t, class, func(r *http.Request) { r.Header.Set("Request-Id", id) }).Write(&text); err != nil {
+	if err := d.newRequest(t, class, func(r *http.Request) { r.Header.Set("Request-Id", id) }).Write(&text); err != nil {
 		t.Fatal(err)
 	}
 	return text.String()
@@ -246,7 +246,7 @@
 	return nil
 }
 
-// leaving is how a client goes: by a close, which its machine tells as a reset if it has left something unread.
+// leaving is how a client goes: by a close, which its machine tells as a reset if data is left unread.
 var leaving = map[string]func(net.Conn){
 	"closes": func(c net.Conn) { c.Close() },
 	"resets": func(c net.Conn) {
--- a/internal/frontdoor/fuzz_test.go
+++ b/internal/frontdoor/fuzz_test.go
@@ -56,7 +56,8 @@
 		if err != nil {
 			return
 		}
-		req, msg, timeout, err := clients.parse(r)
+		parsed, err := clients.parse(r)
+		req, msg, timeout := parsed.req, parsed.msg, parsed.timeout
 		if err == nil && (timeout <= 0 || req.Customer >= maxCustomer || msg.header.Get("Request-Id") == "") {
 			t.Errorf("%q was taken as %+v %+v, timeout %v", text, req, msg, timeout)
 		}
@@ -78,12 +79,12 @@
 			far.Write(text) // ends with the pipe
 			far.Close()
 		}()
-		c := &kept{Conn: near, place: &place{}}
-		c.bound.r = near
-		c.r = bufio.NewReaderSize(&c.bound, 2<<10)
+		c := &pooledConn{Conn: near, endpoint: &endpointPool{}}
+		c.limit.r = near
+		c.r = bufio.NewReaderSize(&c.limit, 2<<10)
 		r := &reply{result: gateway.NotSent}
 		_, err := b.read(context.Background(), c, &message{method: http.MethodGet}, r)
-		if err != nil && r.result != gateway.NotSent || len(r.body) > maxBody || r.hasUse && !(r.use >= 0 && r.use <= maxUse) {
+		if err != nil && r.result != gateway.NotSent || len(r.body) > maxBody || r.hasUsage && !(r.usage >= 0 && r.usage <= maxUsagePercent) {
 			t.Errorf("%q was read as %+v, %v", text, r, err)
 		}
 	})
@@ -126,17 +127,17 @@
 	})
 }
 
-// A list without an end must not fill the memory of a front door, be it asked for or told.
+// A list without an end must not fill the memory of an instance, requested or pushed.
 func TestListsAreBounded(t *testing.T) {
 	endless := roundTrip(func(*http.Request) (*http.Response, error) {
 		body := io.MultiReader(strings.NewReader(`{"seq":1,"whole":true,"hosts":["`), repeat("x"))
 		return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(body)}, nil
 	})
 	f := newFollower(endless, prompt, "agent", 1, func(EndpointList) { t.Error("an endless list was taken") })
-	if err := f.fetch(t.Context()); !errors.Is(err, errBig) {
+	if err := f.fetch(t.Context()); !errors.Is(err, errTooLarge) {
 		t.Errorf("the endless list ended with %v", err)
 	}
-	if err := f.watch(t.Context()); !errors.Is(err, errBig) {
+	if err := f.watch(t.Context()); !errors.Is(err, errTooLarge) {
 		t.Errorf("the endless line ended with %v", err)
 	}
 }
@@ -145,7 +146,7 @@
 func repeat(text string) io.Reader {
 	return io.LimitReader(readerFunc(func(p []byte) (int, error) {
 		return copy(p, bytes.Repeat([]byte(text), len(p))), nil
-	}), 64*mostList)
+	}), 64*maxListBytes)
 }
 
 type readerFunc func([]byte) (int, error)
--- a/internal/frontdoor/lease_test.go
+++ b/internal/frontdoor/lease_test.go
@@ -9,8 +9,9 @@
 	"herontiller/internal/gateway"
 )
 
-// Where the list has to be asked for, a new process is not ready, and sends nothing by the list of its configuration,
-// until discovery has told one; after listWait it is ready all the same. Where lists are pushed, it is ready at once.
+// Where the list must be requested, a new process is not ready, and sends nothing by the list of its configuration,
+// until discovery has sent one; after firstListTimeout it is ready all the same. Where lists are pushed, it is ready
+// at once.
 func TestReadyWithTheFirstList(t *testing.T) {
 	c := config(t)
 	if !NewClients(c, mustLoop(t, c)).ready() {
@@ -24,7 +25,7 @@
 		t.Error("ready without a list")
 	}
 	patience := time.Second
-	ask := func(id gateway.RequestID) answer {
+	ask := func(id gateway.RequestID) finalResponse {
 		msg := &message{method: http.MethodGet, target: "/look", host: "origin.svc", header: http.Header{}}
 		a, err := loop.Serve(t.Context(), gateway.Request{ID: id, Customer: 1, Class: "look", Plan: "basic", Units: 1,
 			Patience: patience, Spread: 2}, msg)
@@ -33,12 +34,12 @@
 		}
 		return a
 	}
-	if a := ask(1); a.kind != refused || a.retryAfter <= 0 {
+	if a := ask(1); a.kind != rejected || a.retryAfter <= 0 {
 		t.Errorf("by the list of its configuration: %+v", a)
 	}
-	clients.started = clients.started.Add(-listWait)
+	clients.started = clients.started.Add(-firstListTimeout)
 	if !clients.ready() {
-		t.Errorf("not ready after %v", listWait)
+		t.Errorf("not ready after %v", firstListTimeout)
 	}
 	clients.started = time.Now()
 	addr := serve(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
@@ -47,7 +48,7 @@
 		t.Error("not ready with a list")
 	}
 	if a := ask(2); a.kind != served {
-		t.Errorf("by a list that discovery told: %+v", a)
+		t.Errorf("by a list that discovery sent: %+v", a)
 	}
 }
 
@@ -61,7 +62,7 @@
 }
 
 // The lease of a list ends, with the time that a connection may take to come up, before what discovery may have had
-// since counts as told.
+// since counts as known.
 func TestListLeaseEndsInTime(t *testing.T) {
 	c := config(t)
 	if lease := listLease(c); lease != 0 {
@@ -70,7 +71,7 @@
 	c.Settings.AskForList = true
 	for _, connect := range []time.Duration{50 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second} {
 		c.Conns.Connect = connect
-		if lease := listLease(c); lease+connect >= toldAfter || lease < toldAfter/2 {
+		if lease := listLease(c); lease+connect >= stalenessBound || lease < stalenessBound/2 {
 			t.Errorf("a lease of %v with connections that take up to %v", lease, connect)
 		}
 	}
