--- a/internal/gateway/api.go
+++ b/internal/gateway/api.go
@@ -5,7 +5,7 @@
 // carries out the returned actions at once and in order. The package has no clock, does no I/O, holds no locks and
 // keeps no package state: two gateways given the same seed and events act alike. A Gateway is not safe for
 // concurrent use. All times are durations on one clock that only moves forward and whose origin does not matter.
-// The decisions are in gateway.go, ceiling.go, health.go, staleness.go and advice.go.
+// The decisions are in the files that deploy/balancer.toml names as policy.
 package gateway
 
 import (
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -28,8 +28,8 @@
 	leastLikely   = 1e-6        // likelihood of a reading at any use: customers are not as regular as the formulas
 	leastExposure = 0.05        // requests expected at the whole quota under which no arrival is no evidence
 	leastWeight   = 0.002       // uses less likely are passed over
-	queueScale    = 1.5         // places, less queueLess, for each request in a bucket, of a queue that is full as often
-	queueLess     = 0.5         // as the bucket has too little, within 0.04
+	queueScale    = 1.5         // places, less queueLess, for each request in a bucket, of a queue that is full as
+	queueLess     = 0.5         // often as the bucket has too little, within 0.04
 )
 
 // usageGrid holds the uses, in multiples of the quota, that the distributions are kept over; priorUsage is what is
