--- a/cmd/herontiller/limits_test.go
+++ b/cmd/herontiller/limits_test.go
@@ -103,7 +103,7 @@
 // Idle clients that take every descriptor they can while discovery is down cost neither the watch that comes back, nor
 // an attempt, nor a client with a request; and clients that all have a request open cost the watch nothing.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
-	const descriptors = 256
+	const descriptors, firstHeld = 256, 0x1000
 	var up atomic.Bool
 	var backendAddr atomic.Value
 	watches := make(chan func(), 1000) // each ends a watch
@@ -125,7 +125,7 @@
 	held := make(chan bool)
 	attempts := make(chan bool, 1000)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get("Request-Id") != "00000000000000a1" {
+		if r.Header.Get("Request-Id") >= fmt.Sprintf("%016x", firstHeld) {
 			attempts <- true
 			<-held
 		}
@@ -169,15 +169,23 @@
 	connect(2 * descriptors)
 	up.Store(true)
 	end := awaitWatch()
-	asking := connect(1)[0]
-	request(asking, 0xa1)
-	asking.SetReadDeadline(time.Now().Add(patient))
-	if res, err := http.ReadResponse(bufio.NewReader(asking), nil); err != nil || res.StatusCode != http.StatusOK {
-		t.Fatalf("a client with a request behind the idle ones was answered %v, %v", res, err)
+	// The list has been written by now, but may not have been taken in: until then there is no backend to send to.
+	for id, until := 0xa1, time.Now().Add(patient); ; id++ {
+		client := connect(1)[0]
+		request(client, id)
+		client.SetReadDeadline(until)
+		res, err := http.ReadResponse(bufio.NewReader(client), nil)
+		if err == nil && res.StatusCode == http.StatusOK {
+			break
+		}
+		if err != nil || res.StatusCode != http.StatusServiceUnavailable || time.Now().After(until) || id == firstHeld-1 {
+			t.Fatalf("a client with a request behind the idle ones was answered %v, %v", res, err)
+		}
+		time.Sleep(10 * time.Millisecond)
 	}
 
 	for i, c := range connect(2 * descriptors) {
-		request(c, 0x1000+i)
+		request(c, firstHeld+i)
 	}
 	for range descriptors / 4 {
 		select {
