--- a/internal/frontdoor/clients_test.go
+++ b/internal/frontdoor/clients_test.go
@@ -102,7 +102,7 @@
 func TestRefusalsSayWhenToComeBack(t *testing.T) {
 	d := startInstance(t, script(func(ev gateway.Event) []gateway.Action {
 		if r, ok := ev.(gateway.Request); ok {
-			return []gateway.Action{gateway.Refuse{Request: r.ID, RetryAfter: 250 * time.Millisecond}, gateway.Fail{Request: r.ID}}
+			return []gateway.Action{gateway.Reject{Request: r.ID, RetryAfter: 250 * time.Millisecond}, gateway.Fail{Request: r.ID}}
 		}
 		return nil
 	}))
--- a/internal/frontdoor/conns_test.go
+++ b/internal/frontdoor/conns_test.go
@@ -89,7 +89,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := script(func(ev gateway.Event) []gateway.Action {
 				if r, ok := ev.(gateway.Request); ok {
-					return []gateway.Action{gateway.Refuse{Request: r.ID}}
+					return []gateway.Action{gateway.Reject{Request: r.ID}}
 				}
 				return nil
 			})
--- a/internal/frontdoor/crossing_test.go
+++ b/internal/frontdoor/crossing_test.go
@@ -187,7 +187,7 @@
 			if r.ID == 0xa1 {
 				close(ln.wait) // all reads after this request's own
 			}
-			return []gateway.Action{gateway.Refuse{Request: r.ID}}
+			return []gateway.Action{gateway.Reject{Request: r.ID}}
 		}
 		return nil
 	})
--- a/internal/frontdoor/discovery_test.go
+++ b/internal/frontdoor/discovery_test.go
@@ -260,9 +260,9 @@
 // what the next requests meet is scripted. So is where the instance starts, or is moved by SIGHUP in the middle of a
 // request.
 func TestAChangeIsKnownInTime(t *testing.T) {
-	agent := Config{Settings: gateway.Settings{FrontDoors: 350, DrainGrace: 500 * time.Millisecond}}
+	agent := Config{Settings: gateway.Settings{Gateways: 350, DrainGrace: 500 * time.Millisecond}}
 	service := func(instances int) Config {
-		return Config{Settings: gateway.Settings{FrontDoors: instances, DrainGrace: 500 * time.Millisecond, AskForList: true}}
+		return Config{Settings: gateway.Settings{Gateways: instances, DrainGrace: 500 * time.Millisecond, AskForList: true}}
 	}
 	for _, c := range []struct {
 		name   string
--- a/internal/frontdoor/frontdoor_test.go
+++ b/internal/frontdoor/frontdoor_test.go
@@ -241,7 +241,7 @@
 // refuseAll refuses every request at once.
 func refuseAll(ev gateway.Event) []gateway.Action {
 	if r, ok := ev.(gateway.Request); ok {
-		return []gateway.Action{gateway.Refuse{Request: r.ID}}
+		return []gateway.Action{gateway.Reject{Request: r.ID}}
 	}
 	return nil
 }
--- a/internal/frontdoor/fuzz_test.go
+++ b/internal/frontdoor/fuzz_test.go
@@ -36,7 +36,7 @@
 			return
 		}
 		if s := c.Settings; !(r.Units > 0) || r.Units > s.LargestUnits || math.IsInf(r.Units, 0) || r.Spread < 1 ||
-			r.Spread > s.FrontDoors || r.FirstDoor < 0 || r.FirstDoor >= s.FrontDoors {
+			r.Spread > s.Gateways || r.FirstGateway < 0 || r.FirstGateway >= s.Gateways {
 			t.Errorf("%q was taken as %+v", text, r)
 		}
 	})
--- a/internal/frontdoor/loop.go
+++ b/internal/frontdoor/loop.go
@@ -199,7 +199,7 @@
 	switch a := a.(type) {
 	case gateway.Send:
 		l.send(a)
-	case gateway.Refuse:
+	case gateway.Reject:
 		l.finish(a.Request, finalResponse{kind: rejected, retryAfter: a.RetryAfter})
 	case gateway.Fail:
 		l.finish(a.Request, finalResponse{kind: failed})
--- a/internal/frontdoor/pace_test.go
+++ b/internal/frontdoor/pace_test.go
@@ -115,7 +115,7 @@
 			return nil, r.Context().Err()
 		})
 		const grace = 400 * time.Millisecond
-		p := newRetryPolicy(Config{Settings: gateway.Settings{FrontDoors: 300, DrainGrace: grace}})
+		p := newRetryPolicy(Config{Settings: gateway.Settings{Gateways: 300, DrainGrace: grace}})
 		newFollower(silent, p, "agent", 1, func(EndpointList) {}).keepWatching(ctx)
 		if len(requested) == 0 || requested[0] > 0 {
 			t.Fatalf("asked first at %v", requested)
--- a/internal/frontdoor/requests.go
+++ b/internal/frontdoor/requests.go
@@ -203,7 +203,7 @@
 			req.Spread, err = strconv.Atoi(value)
 		case "first":
 			again, first = first, true
-			req.FirstDoor, err = strconv.Atoi(value)
+			req.FirstGateway, err = strconv.Atoi(value)
 		}
 		if err != nil || again {
 			return errTerms
@@ -219,7 +219,7 @@
 func (c *Clients) validTerms(req *gateway.Request) bool {
 	s := c.settings
 	return req.Units > 0 && !math.IsInf(req.Units, 0) && (s.LargestUnits <= 0 || req.Units <= s.LargestUnits) &&
-		req.Spread >= 1 && req.Spread <= s.FrontDoors && req.FirstDoor >= 0 && req.FirstDoor < s.FrontDoors
+		req.Spread >= 1 && req.Spread <= s.Gateways && req.FirstGateway >= 0 && req.FirstGateway < s.Gateways
 }
 
 // parseHex reads exactly 16 hexadecimal digits.
--- a/internal/frontdoor/responses.go
+++ b/internal/frontdoor/responses.go
@@ -48,7 +48,7 @@
 		r.result, r.body, r.contentType = gateway.Answered, body, res.Header["Content-Type"]
 	case (res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusGatewayTimeout) &&
 		res.Header.Get("Not-Started") == "1":
-		r.result = gateway.Refused
+		r.result = gateway.Rejected
 	default:
 		r.result = gateway.AnsweredErr // it may have run
 	}
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -18,12 +18,12 @@
 	}
 	cl, plan := g.classes[ev.Class], g.plans[ev.Plan]
 	if cl == nil || plan == nil || !(ev.Units >= 0) || math.IsInf(ev.Units, 0) || ev.Patience <= 0 {
-		g.act(Refuse{Request: ev.ID})
+		g.act(Reject{Request: ev.ID})
 		return
 	}
 	c := g.customer(ev, plan)
 	if !g.withinQuota(c, ev.Units) || !g.underCeiling(c, ev.Units) || !g.admitExcess(c, cl, ev.Units) {
-		g.act(Refuse{ev.ID, g.untilQuota(c, ev.Units)})
+		g.act(Reject{ev.ID, g.untilQuota(c, ev.Units)})
 		return
 	}
 	g.seq++
@@ -34,7 +34,7 @@
 	case len(c.queue) == 0 && g.underOpenLimit(c):
 		g.admit(r)
 	case !g.enqueue(r):
-		g.act(Refuse{ev.ID, g.untilSlot()})
+		g.act(Reject{ev.ID, g.untilSlot()})
 	}
 }
 
@@ -52,7 +52,7 @@
 		s = g.takeSlot(high)
 	}
 	if s == nil {
-		g.act(Refuse{r.id, g.untilSlot()})
+		g.act(Reject{r.id, g.untilSlot()})
 		g.end(r)
 		return
 	}
--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-func refusal(as []Action) (r Refuse, ok bool) {
+func refusal(as []Action) (r Reject, ok bool) {
 	for _, a := range as {
-		if r, ok = a.(Refuse); ok {
+		if r, ok = a.(Reject); ok {
 			return r, true
 		}
 	}
--- a/internal/gateway/api.go
+++ b/internal/gateway/api.go
@@ -74,7 +74,7 @@
 
 // Settings are the facts that a gateway starts with.
 type Settings struct {
-	FrontDoors    int // how many gateways share the back end
+	Gateways      int // how many gateways share the back end
 	Me            int // this one's number among them, from 0
 	Zone          string
 	Classes       []Class
@@ -103,7 +103,7 @@
 	bad := func(least float64, vs ...float64) bool {
 		return slices.ContainsFunc(vs, func(v float64) bool { return !(v >= least) || math.IsInf(v, 0) })
 	}
-	if len(s.Classes) == 0 || len(s.Plans) == 0 || s.FrontDoors < 1 || s.MaxAttempts < 1 {
+	if len(s.Classes) == 0 || len(s.Plans) == 0 || s.Gateways < 1 || s.MaxAttempts < 1 {
 		return errors.New("settings without classes, plans, front doors or attempts")
 	}
 	if bad(0, s.ColdFrom, s.FallMultiple, s.LargestUnits, float64(s.MeterPeriod), float64(s.WarmWithin)) {
@@ -129,14 +129,14 @@
 
 // Request is a client's request, which from now on is owed one final answer.
 type Request struct {
-	ID        RequestID
-	Customer  CustomerID
-	Class     string
-	Plan      string
-	Units     float64
-	Patience  time.Duration // how long this client waits for this try
-	FirstDoor int           // the first of the gateways that the customer uses
-	Spread    int           // how many gateways in a row it uses
+	ID           RequestID
+	Customer     CustomerID
+	Class        string
+	Plan         string
+	Units        float64
+	Patience     time.Duration // how long this client waits for this try
+	FirstGateway int           // the first of the gateways that the customer uses
+	Spread       int           // how many gateways in a row it uses
 }
 
 // BackendState is what the list says of a backend.
@@ -181,11 +181,11 @@
 // Result is how an attempt or a probe ended.
 type Result uint8
 
-// The results. Refused, NoConnection and NotSent prove that the attempt never ran.
+// The results. Rejected, NoConnection and NotSent prove that the attempt never ran.
 const (
 	Answered     Result = iota // served
 	AnsweredErr                // the backend answered with an error
-	Refused                    // rejected unseen: full or draining
+	Rejected                   // rejected unseen: full or draining
 	TimedOut                   // no answer in time
 	NoConnection               // no connection could be made
 	Broken                     // the connection broke while the attempt was out
@@ -247,8 +247,8 @@
 	Within  time.Duration // an attempt that has not begun by then must not begin any more; 0: it may at any time
 }
 
-// Refuse is a final answer; it tells the client that trying again does no harm.
-type Refuse struct {
+// Reject is a final answer; it tells the client that trying again does no harm.
+type Reject struct {
 	Request    RequestID
 	RetryAfter time.Duration // 0: no advice
 }
@@ -275,7 +275,7 @@
 type Subscribe struct{}
 
 func (Send) isAction()      {}
-func (Refuse) isAction()    {}
+func (Reject) isAction()    {}
 func (Fail) isAction()      {}
 func (Cancel) isAction()    {}
 func (SetTimer) isAction()  {}
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -62,7 +62,7 @@
 	late := ev.Result == TimedOut || ev.Result == Answered && took > r.class.late()
 	if ev.Result != Cancelled && ev.Result != NotSent && !t.countedLate {
 		g.outcomes++
-		if late || ev.Result == Refused {
+		if late || ev.Result == Rejected {
 			g.badOutcomes++
 			b.lastBadAt = g.now
 		}
@@ -84,7 +84,7 @@
 			break
 		}
 		b.slow += 2 * gain * max(0, min(took/r.class.latency, deadAfter)-b.slow)
-	case Refused:
+	case Rejected:
 		b.overdue, b.holdUntil = 0, g.now+seconds(g.meanLatency/2)
 	case NoConnection:
 		g.noConnection(b)
@@ -112,7 +112,7 @@
 	t := r.mayHaveRun()
 	if t == nil || r.class.Effect == Safe ||
 		r.class.Effect == Keyed && r.class.Group == GroupAll && g.now-t.sent < r.class.KeyWindow {
-		g.act(Refuse{r.id, g.untilSlot()})
+		g.act(Reject{r.id, g.untilSlot()})
 	} else {
 		g.act(Fail{Request: r.id})
 	}
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -14,7 +14,7 @@
 		refused, failed int
 	}{
 		{"safe", TimedOut, 0, true, 0, 0},
-		{"once", Refused, 0, true, 0, 0},
+		{"once", Rejected, 0, true, 0, 0},
 		{"once", NoConnection, 0, true, 0, 0},
 		{"once", TimedOut, 0, false, 0, 1},
 		{"once", AnsweredErr, 0, false, 0, 1},
@@ -23,7 +23,7 @@
 		{"keyed", Broken, 4 * second, false, 0, 1},
 		{"celled", Broken, 0, false, 0, 1}, // the other backend is in another cell
 		{"zoned", Broken, 0, false, 0, 1},
-		{"celled", Refused, 0, true, 0, 0},
+		{"celled", Rejected, 0, true, 0, 0},
 	} {
 		r := newRig(t, testSettings(), fleet(2)...)
 		id, as := r.ask(c.class, "wide", 1)
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -10,7 +10,7 @@
 // requests a second and with the ticks between them.
 func BenchmarkRequest(b *testing.B) {
 	set := testSettings()
-	set.FrontDoors, set.MeterPeriod, set.LargestUnits = 300, 500*ms, 8
+	set.Gateways, set.MeterPeriod, set.LargestUnits = 300, 500*ms, 8
 	set.Plans = []Plan{{Name: "basic", Rate: 1.6, Burst: 16, Price: 0.55, OverCost: 1},
 		{Name: "estate", Rate: 28, Burst: 50, Price: 1.8, OverCost: 0.8, Open: 3, CeilingRate: 60, CeilingBurst: 105}}
 	g, err := New(set, 1, time.Hour)
--- a/internal/gateway/ceiling_test.go
+++ b/internal/gateway/ceiling_test.go
@@ -25,7 +25,7 @@
 	if k := passed(10); k != 2 {
 		t.Errorf("%d passed a second later, want half of 4", k)
 	}
-	s.Me, s.FrontDoors = 3, 4
+	s.Me, s.Gateways = 3, 4
 	r = newRig(t, s, fleet(2)...)
 	r.now += 100 * second
 	if k := passed(3); k != 0 {
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -44,7 +44,7 @@
 		{30, 24, 12, 0.65, 3, 1500 * ms, 0.19}, {350, 120, 60, 0.6, 3, 1500 * ms, 0.19}, {350, 100, 60, 0.5, 2, 2500 * ms, 0.25},
 	} {
 		set := testSettings()
-		set.FrontDoors, set.ColdFrom, set.WarmWithin = c.doors, c.coldFrom, 12*second
+		set.Gateways, set.ColdFrom, set.WarmWithin = c.doors, c.coldFrom, 12*second
 		set.FallMultiple, set.FallFor = c.multiple, c.window
 		for seed := range uint64(3) {
 			f := newFleet(t, set, seed, c.backends)
--- a/internal/gateway/concurrency.go
+++ b/internal/gateway/concurrency.go
@@ -46,7 +46,7 @@
 	first := min(0.5, 1/max(1, g.ticks)) // its first counts weigh more
 	g.sustainable += max(weight, first) * (g.answerTime - g.sustainable)
 	g.answerTime = 0
-	floor := max(float64(max(1, ready))/float64(g.settings.FrontDoors), g.sustainable/2)
+	floor := max(float64(max(1, ready))/float64(g.settings.Gateways), g.sustainable/2)
 	spread := float64(sick) > min(g.badOutcomes/2, float64(ready)/3)
 	usual := badShare * max(g.outcomes, minEnded)
 	pressed := spread && g.badOutcomes > min(usual+byChance*math.Sqrt(usual), g.outcomes/2)
--- a/internal/gateway/concurrency_test.go
+++ b/internal/gateway/concurrency_test.go
@@ -120,7 +120,7 @@
 // ibf5006).
 func TestNIsAFractionAtManyDoors(t *testing.T) {
 	s := testSettings()
-	s.FrontDoors = 600
+	s.Gateways = 600
 	r := newRig(t, s, fleet(60)...)
 	var out [][]Action
 	for i := range 90 { // requests of which none is answered; their clients leave after six seconds
--- a/internal/gateway/example_test.go
+++ b/internal/gateway/example_test.go
@@ -10,7 +10,7 @@
 // A gateway passes events in and carries out what comes back.
 func Example() {
 	g, err := gateway.New(gateway.Settings{
-		FrontDoors:  1,
+		Gateways:    1,
 		MaxAttempts: 3,
 		MeterPeriod: time.Second,
 		Classes:     []gateway.Class{{Name: "lookup", Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}},
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -60,7 +60,7 @@
 
 func newFleet(t *testing.T, set Settings, seed uint64, backends int) *fleetRun {
 	f := &fleetRun{t: t, set: set, rng: rand.New(rand.NewPCG(seed, 9)), now: fleetStart, list: fleet(backends),
-		doors: make([]*Gateway, set.FrontDoors), lives: make([]int, set.FrontDoors), reqs: map[RequestID]Request{},
+		doors: make([]*Gateway, set.Gateways), lives: make([]int, set.Gateways), reqs: map[RequestID]Request{},
 		tries: map[RequestID]int{}, onSend: func(Request, BackendID, bool) {}, onEnd: func(Request) {},
 		onRefuse: func(Request, time.Duration) {}}
 	for door := range f.doors {
@@ -100,7 +100,7 @@
 				out.Result, out.Final = AnsweredErr, false
 			}
 			f.after(took, door, out)
-		case Refuse:
+		case Reject:
 			f.onRefuse(f.reqs[a.Request], a.RetryAfter)
 		case SetTimer:
 			f.after(a.After, door, Timer{Token: a.Token})
@@ -153,7 +153,7 @@
 // unevenly draws a gateway of a set: the first of it gets several times what the last one gets.
 func (f *fleetRun) unevenly(first, spread int) int {
 	at := int(float64(spread) * math.Pow(f.rng.Float64(), 2.5))
-	return (first + at) % f.set.FrontDoors
+	return (first + at) % f.set.Gateways
 }
 
 // All gateways together keep a customer under its ceiling, in rate and in attempts out, however many its gateways
@@ -166,7 +166,7 @@
 	}{{2, 3, 60, 8, 20}, {4, 3, 64, 8, 20}, {4, 2, 64, 8, 20}, {3, 4, 60, 8, 20}, {5, 7, 80, 8, 20}, {20, 3, 8, 1, 20},
 		{30, 2, 8, 2, 20}, {12, 40, 20, 8, 20}, {20, 3, 400, 1, 400}, {30, 2, 800, 2, 400}, {15, 4, 240, 8, 400}} {
 		set := testSettings()
-		set.FrontDoors, set.LargestUnits = 30, c.most
+		set.Gateways, set.LargestUnits = 30, c.most
 		p := Plan{Name: "estate", Rate: c.rate, Burst: c.burst / 2, Price: 1, Open: c.open, CeilingRate: 2 * c.rate, CeilingBurst: c.burst,
 			CeilingSlack: c.most}
 		set.Plans = append(set.Plans, p)
@@ -205,12 +205,12 @@
 				i := f.rng.IntN(customers)
 				first := 7 * i
 				return f.unevenly(first, c.spread), Request{Customer: CustomerID(i), Class: "safe", Plan: p.Name,
-					Units: 1 + float64(f.rng.IntN(int(c.most))), Patience: 3 * second, FirstDoor: first, Spread: c.spread}
+					Units: 1 + float64(f.rng.IntN(int(c.most))), Patience: 3 * second, FirstGateway: first, Spread: c.spread}
 			}
 			for range int(length) {
 				f.runUntil(f.now+second, 200, ask)
 				for range 3 {
-					f.start(f.rng.IntN(set.FrontDoors))
+					f.start(f.rng.IntN(set.Gateways))
 				}
 			}
 			for i, n := range mostOut {
@@ -235,7 +235,7 @@
 	const doors, backends, replaced, perDoor = 150, 90, 45, 10.0
 	const capacity = 20.0 // attempts a second of a warm backend: two cores and meanWork; the fleet asks for 83 in 100 of it
 	set := testSettings()
-	set.FrontDoors, set.ColdFrom, set.WarmWithin, set.FallMultiple, set.FallFor = doors, 0.19, 15*second, 3, 1500*ms
+	set.Gateways, set.ColdFrom, set.WarmWithin, set.FallMultiple, set.FallFor = doors, 0.19, 15*second, 3, 1500*ms
 	for seed := range uint64(3) {
 		f := newFleet(t, set, seed, backends)
 		ask := func() (int, Request) {
@@ -280,7 +280,7 @@
 func TestAllDoorsKeepTheQuota(t *testing.T) {
 	const doors, late, length = 8, 700 * ms, 30.0
 	set := testSettings()
-	set.FrontDoors, set.MeterPeriod, set.LargestUnits = doors, 500*ms, 2
+	set.Gateways, set.MeterPeriod, set.LargestUnits = doors, 500*ms, 2
 	p := Plan{Name: "business", Rate: 12, Burst: 24, Price: 1}
 	set.Plans = append(set.Plans, p)
 	for seed := range uint64(3) {
@@ -316,7 +316,7 @@
 func TestManyDoorsSendLittleBeyondTheQuota(t *testing.T) {
 	const doors, late, length, heavy, calm = 150, 700 * ms, 30.0, 4, 12
 	set := testSettings()
-	set.FrontDoors, set.MeterPeriod, set.LargestUnits = doors, 500*ms, 8
+	set.Gateways, set.MeterPeriod, set.LargestUnits = doors, 500*ms, 8
 	p := Plan{Name: "basic", Rate: 4, Burst: 16, Price: 1, OverCost: 1}
 	set.Plans = append(set.Plans, p)
 	large := 0.0
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -13,7 +13,7 @@
 	cases := map[string]func(*Settings){
 		"no classes":      func(s *Settings) { s.Classes = nil },
 		"no plans":        func(s *Settings) { s.Plans = nil },
-		"no front doors":  func(s *Settings) { s.FrontDoors = 0 },
+		"no front doors":  func(s *Settings) { s.Gateways = 0 },
 		"no attempts":     func(s *Settings) { s.MaxAttempts = 0 },
 		"worth NaN":       func(s *Settings) { s.Classes[0].Worth = math.NaN() },
 		"no aim":          func(s *Settings) { s.Classes[0].Aim = 0 },
--- a/internal/gateway/health.go
+++ b/internal/gateway/health.go
@@ -78,7 +78,7 @@
 	if g.ticks == 0 { // nothing counted yet: what it has sent is all that it knows
 		sends = g.sends
 	}
-	rate := max(sends, ready/float64(g.settings.FrontDoors)) / min(ready, g.subsetSize())
+	rate := max(sends, ready/float64(g.settings.Gateways)) / min(ready, g.subsetSize())
 	part := w * min(ready / *warm, coldMost*g.settings.FallMultiple) // of what a warm one is sent on average
 	b.tokens = min(1, b.tokens+part*rate*(g.now-b.tokensAt).Seconds())
 	b.tokensAt = g.now
--- a/internal/gateway/listing_test.go
+++ b/internal/gateway/listing_test.go
@@ -34,7 +34,7 @@
 			i := rng.IntN(len(sent))
 			o := sent[i]
 			sent = slices.Delete(sent, i, i+1)
-			for _, s := range sends(r.outcome(o.Request, o.Backend, o.try, []Result{Answered, NoConnection, Refused}[rng.IntN(3)])) {
+			for _, s := range sends(r.outcome(o.Request, o.Backend, o.try, []Result{Answered, NoConnection, Rejected}[rng.IntN(3)])) {
 				sent = append(sent, out{s, o.try + 1})
 			}
 		}
--- a/internal/gateway/market_test.go
+++ b/internal/gateway/market_test.go
@@ -106,7 +106,7 @@
 
 func newMarket(t *testing.T, spec marketSpec, seed uint64) *market {
 	set := testSettings()
-	set.FrontDoors, set.MeterPeriod, set.LargestUnits = spec.doors, spec.period, float64(spec.most)
+	set.Gateways, set.MeterPeriod, set.LargestUnits = spec.doors, spec.period, float64(spec.most)
 	set.Classes, set.Plans = nil, nil
 	for _, c := range spec.classes {
 		set.Classes = append(set.Classes, c.Class)
@@ -245,7 +245,7 @@
 	m.next++
 	m.asks[m.next] = a
 	return m.door(c), Request{ID: m.next, Customer: CustomerID(a.customer), Class: m.spec.classes[a.class].Name,
-		Plan: m.spec.plans[c.plan].Name, Units: a.units, Patience: 3 * second, FirstDoor: c.first, Spread: c.spread}
+		Plan: m.spec.plans[c.plan].Name, Units: a.units, Patience: 3 * second, FirstGateway: c.first, Spread: c.spread}
 }
 
 func (m *market) sentOn(r Request, _ BackendID, first bool) {
--- a/internal/gateway/odd_test.go
+++ b/internal/gateway/odd_test.go
@@ -29,7 +29,7 @@
 	} {
 		for _, doors := range []int{1, 3, 40} {
 			set := testSettings()
-			set.FrontDoors = doors
+			set.Gateways = doors
 			set.Plans = []Plan{{Name: "plan", Rate: 20, Burst: 20, Price: 1, OverCost: 1}}
 			odd(&set)
 			f := newFleet(t, set, 1, 20)
--- a/internal/gateway/property_test.go
+++ b/internal/gateway/property_test.go
@@ -97,7 +97,7 @@
 	switch a := a.(type) {
 	case Send:
 		k.seeSend(door, a)
-	case Refuse:
+	case Reject:
 		final(a.Request, true)
 	case Fail:
 		final(a.Request, false)
@@ -162,7 +162,7 @@
 
 const arrivalsPerSecond = 60
 
-func neverRan(res Result) bool { return res == Refused || res == NoConnection || res == NotSent }
+func neverRan(res Result) bool { return res == Rejected || res == NoConnection || res == NotSent }
 
 func (k *checker) plan(name string) Plan {
 	for _, p := range k.set.Plans {
@@ -271,7 +271,7 @@
 	default:
 		k.next++
 		q := Request{ID: k.next, Customer: CustomerID(k.rng.IntN(6)), Units: 1,
-			Class: k.set.Classes[k.rng.IntN(len(k.set.Classes))].Name, Spread: min(len(k.doors), 4), FirstDoor: len(k.doors) - 2}
+			Class: k.set.Classes[k.rng.IntN(len(k.set.Classes))].Name, Spread: min(len(k.doors), 4), FirstGateway: len(k.doors) - 2}
 		q.Plan = k.set.Plans[int(q.Customer)%len(k.set.Plans)].Name
 		q.Patience = second + time.Duration(k.rng.IntN(int(5*second)))
 		k.requests[q.ID] = &seenRequest{door: door, req: q, class: k.class(q.Class), due: k.now + q.Patience}
@@ -282,7 +282,7 @@
 
 func runChecker(t *testing.T, seed uint64, doors int, parallel bool, steps int) []string {
 	s := testSettings()
-	s.FrontDoors, s.ParallelTries, s.AnswerGrace = doors, parallel, 80*ms
+	s.Gateways, s.ParallelTries, s.AnswerGrace = doors, parallel, 80*ms
 	k := &checker{t: t, set: s, rng: rand.New(rand.NewPCG(seed, 1)), now: 500 * second, doors: make([]*Gateway, doors),
 		lives: make([]int, doors), timers: make([][]pendingTimer, doors), requests: map[RequestID]*seenRequest{},
 		ceiling: map[CustomerID]float64{}, ceilAt: map[CustomerID]time.Duration{}, cold: map[BackendID][]time.Duration{}}
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -21,9 +21,9 @@
 func (g *Gateway) customer(ev Request, plan *Plan) *customer {
 	c := g.customers[ev.Customer]
 	if c == nil || c.plan != plan {
-		doors := min(max(ev.Spread, 1), g.settings.FrontDoors)
-		all := g.settings.FrontDoors
-		offset := ((g.settings.Me-ev.FirstDoor)%all + all) % all
+		doors := min(max(ev.Spread, 1), g.settings.Gateways)
+		all := g.settings.Gateways
+		offset := ((g.settings.Me-ev.FirstGateway)%all + all) % all
 		c = &customer{plan: plan, gateways: float64(doors), passShare: 1, bucketAt: g.now,
 			period: g.settings.MeterPeriod.Seconds()}
 		set := shares.Set{Gateways: doors, Offset: offset, Customer: uint64(ev.Customer)}
--- a/internal/gateway/quota_test.go
+++ b/internal/gateway/quota_test.go
@@ -172,7 +172,7 @@
 func manyDoorsLetIn(t *testing.T, use float64) float64 {
 	const doors = 40
 	s := testSettings()
-	s.FrontDoors = doors
+	s.Gateways = doors
 	rigs := make([]*rig, doors)
 	for i := range rigs {
 		s.Me = i
@@ -199,7 +199,7 @@
 func TestOneOfManyDoorsTakesACustomerToAskMuch(t *testing.T) {
 	for doors, least := range map[int]float64{2: 0, 40: 150} {
 		s := testSettings()
-		s.FrontDoors = doors
+		s.Gateways = doors
 		r := newRig(t, s, fleet(2)...)
 		r.do(Request{ID: 1, Customer: 5, Class: "safe", Plan: "rated", Units: 1, Patience: second, Spread: doors})
 		c := r.g.customers[5]
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -8,7 +8,7 @@
 // A gateway by itself, with the helpers that most tests use.
 
 func testSettings() Settings {
-	return Settings{FrontDoors: 2, Zone: "z1", MeterPeriod: second, LargestUnits: 2, MaxAttempts: 3,
+	return Settings{Gateways: 2, Zone: "z1", MeterPeriod: second, LargestUnits: 2, MaxAttempts: 3,
 		ParallelTries: true, CanCancel: true, AnswerGrace: 16 * ms, DrainGrace: second, ColdFrom: 0.2,
 		WarmWithin: 10 * second, FallMultiple: 2.5, FallFor: second, MaxRetryAfter: second,
 		Classes: []Class{
@@ -80,7 +80,7 @@
 func finals(as []Action) (refused, failed int) {
 	for _, a := range as {
 		switch a.(type) {
-		case Refuse:
+		case Reject:
 			refused++
 		case Fail:
 			failed++
--- a/internal/gateway/selection.go
+++ b/internal/gateway/selection.go
@@ -97,7 +97,7 @@
 func (r *request) mayHaveRun() *attempt {
 	for i := range r.attempts {
 		t := &r.attempts[i]
-		if t.open || !slices.Contains([]Result{Refused, NoConnection, NotSent}, t.result) {
+		if t.open || !slices.Contains([]Result{Rejected, NoConnection, NotSent}, t.result) {
 			return t
 		}
 	}
--- a/internal/gateway/selection_test.go
+++ b/internal/gateway/selection_test.go
@@ -116,7 +116,7 @@
 func TestManyDoorsUseColdBackends(t *testing.T) {
 	const doors, backends, replaced, everyMS, length = 40, 20, 12, 200, 4 * second
 	s := testSettings()
-	s.FrontDoors = doors
+	s.Gateways = doors
 	infos := fleet(backends)
 	sent := [2]int{} // to warm and to cold ones
 	for door := range doors {
--- a/internal/gateway/staleness.go
+++ b/internal/gateway/staleness.go
@@ -24,7 +24,7 @@
 	switch t.result {
 	case Answered:
 		t.b.provenUntil = max(t.b.provenUntil, t.sent+seconds(answerLease*g.settings.ListLease.Seconds()))
-	case Refused: // it may drain
+	case Rejected: // it may drain
 		t.b.provenUntil = 0
 	}
 }
--- a/internal/gateway/staleness_test.go
+++ b/internal/gateway/staleness_test.go
@@ -42,7 +42,7 @@
 			t.Fatalf("by a saved list: %v", as)
 		}
 		for _, a := range as {
-			if refusal, ok := a.(Refuse); ok && refusal.RetryAfter <= 0 {
+			if refusal, ok := a.(Reject); ok && refusal.RetryAfter <= 0 {
 				t.Errorf("refused with no time to come again: %+v", refusal)
 			}
 		}
@@ -109,7 +109,7 @@
 	r.now += 100 * ms
 	r.outcome(id, b, 0, Answered)
 	id, _ = r.sendTo()
-	r.outcome(id, b, 0, Refused)
+	r.outcome(id, b, 0, Rejected)
 	r.now += second
 	if _, other := r.sendTo(); other != 0 {
 		t.Errorf("sent to %d", other)
@@ -167,11 +167,11 @@
 				i := rng.IntN(len(open))
 				o := open[i]
 				open = append(open[:i], open[i+1:]...)
-				result := []Result{Answered, Answered, Answered, Answered, AnsweredErr, Refused, NoConnection, Broken}[rng.IntN(8)]
+				result := []Result{Answered, Answered, Answered, Answered, AnsweredErr, Rejected, NoConnection, Broken}[rng.IntN(8)]
 				switch result {
 				case Answered:
 					good[o.b] = max(good[o.b], o.at+seconds(answerLease*lease.Seconds()))
-				case Refused:
+				case Rejected:
 					good[o.b] = 0
 				}
 				see(r.outcome(o.id, o.b, o.try, result))
--- a/internal/scalelab/fixture.go
+++ b/internal/scalelab/fixture.go
@@ -46,7 +46,7 @@
 
 // newSettings are the settings of a fleet of the size, with plans that no test traffic uses up.
 func newSettings(size Size) Settings {
-	settings := Settings{FrontDoors: size.Gateways, Zone: zoneName(0), MeterPeriod: meterPeriod, LargestUnits: largestUnit,
+	settings := Settings{Gateways: size.Gateways, Zone: zoneName(0), MeterPeriod: meterPeriod, LargestUnits: largestUnit,
 		MaxAttempts: 3, CanCancel: true, AnswerGrace: 50 * time.Millisecond, DrainGrace: 500 * time.Millisecond,
 		ColdFrom: 0.19, WarmWithin: 15 * time.Second, FallMultiple: 3, FallFor: 1500 * time.Millisecond,
 		MaxRetryAfter: time.Second}
--- a/internal/scalelab/fleet.go
+++ b/internal/scalelab/fleet.go
@@ -32,7 +32,7 @@
 	random := rand.New(rand.NewPCG(seed, 2))
 	fleet := &Fleet{Clock: &Clock{now: start}, Random: random, settings: settings, plans: map[string]Plan{},
 		Backends: NewBackends(len(list), meanWork, random), Meter: NewMeter(settings.MeterPeriod, meterLate),
-		Gateways: make([]*HollowGateway, settings.FrontDoors), lives: make([]int, settings.FrontDoors),
+		Gateways: make([]*HollowGateway, settings.Gateways), lives: make([]int, settings.Gateways),
 		OnSend: func(*HollowGateway, Attempt) {}, OnAnswer: func(Request) {}, OnReject: func(*HollowGateway, Request) {}}
 	for _, plan := range settings.Plans {
 		fleet.plans[plan.Name] = plan
--- a/internal/scalelab/hollow.go
+++ b/internal/scalelab/hollow.go
@@ -115,7 +115,7 @@
 		number := request.attempts
 		request.attempts++
 		h.surroundings.Send(h, Attempt{Request: request.request, Backend: action.Backend, Number: number})
-	case gateway.Refuse:
+	case gateway.Reject:
 		h.reject(action.Request)
 	case gateway.Fail:
 		h.reject(action.Request)
--- a/internal/scalelab/quota.go
+++ b/internal/scalelab/quota.go
@@ -125,7 +125,7 @@
 	uneven := int(float64(p.spread) * math.Pow(random.Float64(), 2.5)) // the first gateway gets several times the last's
 	gateway := (customer.first + uneven) % len(p.fleet.Gateways)
 	p.fleet.Ask(gateway, Request{Customer: CustomerID(number), Class: className(0), Plan: quotaPlan, Units: units,
-		FirstDoor: customer.first, Spread: p.spread})
+		FirstGateway: customer.first, Spread: p.spread})
 }
 
 func (p *quotaPlay) sent(_ *HollowGateway, attempt Attempt) {
--- a/internal/scalelab/wire.go
+++ b/internal/scalelab/wire.go
@@ -45,7 +45,7 @@
 // settingsText is the part of a configuration file that holds classes and plans.
 func settingsText(settings Settings) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, `{"balancers":%d,"me":%d,"lanes":[`, settings.FrontDoors, settings.Me)
+	fmt.Fprintf(&text, `{"balancers":%d,"me":%d,"lanes":[`, settings.Gateways, settings.Me)
 	for i, class := range settings.Classes {
 		if i > 0 {
 			text.WriteByte(',')
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -89,7 +89,7 @@
 	if err := json.Unmarshal(text, &p); err != nil {
 		return gateway.Settings{}, Connections{}, fmt.Errorf("settings: %w", err)
 	}
-	s := gateway.Settings{FrontDoors: p.Balancers, Me: p.Me, Zone: p.Zone, MeterPeriod: micros(p.Family.Meter),
+	s := gateway.Settings{Gateways: p.Balancers, Me: p.Me, Zone: p.Zone, MeterPeriod: micros(p.Family.Meter),
 		LargestUnits: p.Family.Largest, MaxAttempts: p.Limits.Attempts, ParallelTries: p.Limits.Parallel,
 		CanCancel: p.Limits.Cancel, CanProbe: p.Limits.Probes, AskForList: p.Discovery == "on_request",
 		LoadColumns: p.Stats.Columns, LoadInAnswers: p.Stats.How == "answers", AnswerGrace: micros(p.Duties.Grace),
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -77,7 +77,7 @@
 // The wire's words for the constants of package gateway.
 
 var results = map[string]gateway.Result{
-	"delivered": gateway.Answered, "app_error": gateway.AnsweredErr, "shed": gateway.Refused, "expired": gateway.TimedOut,
+	"delivered": gateway.Answered, "app_error": gateway.AnsweredErr, "shed": gateway.Rejected, "expired": gateway.TimedOut,
 	"dial_failed": gateway.NoConnection, "dropped": gateway.Broken, "revoked": gateway.Cancelled, "unused": gateway.NotSent,
 }
 
@@ -193,7 +193,7 @@
 func decodeRequest(l rawMessage) (gateway.Event, error) {
 	id, err := requestID(l)
 	return gateway.Request{ID: id, Customer: gateway.CustomerID(l.Customer), Class: l.Class, Plan: l.Plan,
-		Units: l.Units, Patience: micros(l.Patience), FirstDoor: int(l.FirstInstance), Spread: int(l.Spread)}, err
+		Units: l.Units, Patience: micros(l.Patience), FirstGateway: int(l.FirstInstance), Spread: int(l.Spread)}, err
 }
 
 func decodeOutcome(l rawMessage) (gateway.Event, error) {
@@ -243,7 +243,7 @@
 	case gateway.Send:
 		fmt.Fprintf(b, `{"m":"assign","door":%d,"txn":"%s","max_wait_us":%d,"backend":%d}`, instance,
 			formatID(a.Request), a.Timeout.Microseconds(), a.Backend)
-	case gateway.Refuse:
+	case gateway.Reject:
 		fmt.Fprintf(b, `{"m":"reject","door":%d,"txn":"%s","not_before_for_us":%d}`, instance,
 			formatID(a.Request), a.RetryAfter.Microseconds())
 	case gateway.Fail:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -17,7 +17,7 @@
 		`{"m":"call","door":3,"txn":"d4b7b4c55d3a91c4","opts":1,"spread":3,"terms":"kis","grace_us":240000,` +
 			`"cost_units":2,"first_door":1,"grade":"c","caller":7,"new":[1]}`: {Instance: 3, Event: gateway.Request{
 			ID: 0xd4b7b4c55d3a91c4, Customer: 7, Class: "c", Plan: "kis", Units: 2, Patience: 240 * time.Millisecond,
-			FirstDoor: 1, Spread: 3}},
+			FirstGateway: 1, Spread: 3}},
 		`{"m":"reminder","door":3,"ref":77}`: {Instance: 3, Event: gateway.Timer{Token: 77}},
 		`{"m":"client_left","door":5,"txn":"00000000000000ff"}`: {Instance: 5,
 			Event: gateway.ClientGone{Request: 255}},
@@ -76,7 +76,7 @@
 func TestActions(t *testing.T) {
 	var b bytes.Buffer
 	for _, a := range []gateway.Action{
-		gateway.Send{Request: 255, Backend: 9, Timeout: time.Millisecond}, gateway.Refuse{Request: 1, RetryAfter: time.Second},
+		gateway.Send{Request: 255, Backend: 9, Timeout: time.Millisecond}, gateway.Reject{Request: 1, RetryAfter: time.Second},
 		gateway.Fail{Request: 2}, gateway.Cancel{Request: 3, Attempt: 1}, gateway.SetTimer{After: 100 * time.Hour, Token: 4},
 		gateway.Probe{Backend: 5}, gateway.Subscribe{},
 	} {
