--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,5 +1,6 @@
-// Package budget works out the shadow price at which requests, each admitted with a probability that goes by its value
-// and its cost, spend a given budget. It holds no settings of the policy.
+// Package budget computes the shadow price at which requests spend a given budget. The shadow price is the value that
+// one unit of the budget is worth: each request is admitted with a probability that falls with the price and with the
+// request's cost, and rises with its value. The package holds no settings of the policy.
 package budget
 
 import (
@@ -7,67 +8,71 @@
 	"time"
 )
 
-// halvings of the range in which the price is searched, on a logarithmic scale.
-const halvings = 12
+// bisectionSteps is the number of halvings of the search range of the price, which is bisected on a logarithmic scale.
+const bisectionSteps = 12
 
-// Offer is what is expected of a request, if it is admitted.
+// Offer holds what a request is expected to be worth and to cost if it is admitted. Value, Cost and BudgetBase are in
+// the same unit and 0 or more.
 type Offer struct {
-	At    time.Duration
-	Value float64
-	Cost  float64
-	Base  float64 // what the budget is a share of
-	Least float64 // probability that it is admitted with at any price
+	At           time.Duration // when the request arrived
+	Value        float64       // expected value gained if the request is admitted
+	Cost         float64       // expected part of the budget spent if the request is admitted
+	BudgetBase   float64       // the request's part of the sum of which the budget is a share
+	MinAdmission float64       // minimum probability of admission, whatever the price
 }
 
-// Admission is the probability that the request is admitted with at a shadow price: surely where its value is at least
-// the price of its cost, less often the less it is.
-func (o *Offer) Admission(price float64) float64 {
+// AdmissionProbability returns the probability with which the request is admitted at a shadow price above 0. It is 1 if
+// the value is at least the cost times the price, else the ratio of the two, but at least MinAdmission.
+func (o *Offer) AdmissionProbability(price float64) float64 {
 	if o.Value >= o.Cost*price {
 		return 1
 	}
-	return max(o.Least, o.Value/(o.Cost*price))
+	return max(o.MinAdmission, o.Value/(o.Cost*price))
 }
 
-// Ledger keeps the latest offers.
-type Ledger struct {
-	offers []Offer // a ring
-	next   int
+// History keeps the most recent offers.
+type History struct {
+	offers []Offer // ring buffer
+	oldest int     // index of the oldest offer once the buffer is full
 }
 
-// NewLedger returns a ledger of at most so many offers.
-func NewLedger(most int) *Ledger { return &Ledger{offers: make([]Offer, 0, most)} }
+// NewHistory returns an empty history that keeps maxOffers offers, at least 1.
+func NewHistory(maxOffers int) *History { return &History{offers: make([]Offer, 0, maxOffers)} }
 
-// Add takes in an offer.
-func (l *Ledger) Add(o Offer) {
-	if len(l.offers) < cap(l.offers) {
-		l.offers = append(l.offers, o)
+// Add records an offer. It replaces the oldest one once the history is full.
+func (h *History) Add(offer Offer) {
+	if len(h.offers) < cap(h.offers) {
+		h.offers = append(h.offers, offer)
 		return
 	}
-	l.offers[l.next] = o
-	l.next = (l.next + 1) % len(l.offers)
+	h.offers[h.oldest] = offer
+	h.oldest = (h.oldest + 1) % len(h.offers)
 }
 
-// Price returns the shadow price, between the two bounds, at which the offers made since then would have spent the given
-// share of their bases.
-func (l *Ledger) Price(since time.Duration, share, least, most float64) float64 {
-	low, high := math.Log(least), math.Log(most)
-	for range halvings {
-		middle := (low + high) / 2
-		if l.overspent(since, share, math.Exp(middle)) {
-			low = middle
+// Price returns the shadow price at which the offers made at or after the time since would have spent the given share
+// of the sum of their budget bases. It is found by bisection between minPrice and maxPrice, which must be above 0. It
+// is close to minPrice if the budget is not spent at any price, or there are no such offers, and close to maxPrice if
+// it is overspent at every price.
+func (h *History) Price(since time.Duration, share, minPrice, maxPrice float64) float64 {
+	logLow, logHigh := math.Log(minPrice), math.Log(maxPrice)
+	for range bisectionSteps {
+		logMiddle := (logLow + logHigh) / 2
+		if h.overspent(since, share, math.Exp(logMiddle)) {
+			logLow = logMiddle
 		} else {
-			high = middle
+			logHigh = logMiddle
 		}
 	}
-	return math.Exp((low + high) / 2)
+	return math.Exp((logLow + logHigh) / 2)
 }
 
-func (l *Ledger) overspent(since time.Duration, share, price float64) bool {
-	balance := 0.0
-	for i := range l.offers {
-		if o := &l.offers[i]; o.At >= since {
-			balance += o.Admission(price)*o.Cost - share*o.Base
+// overspent reports whether the offers made at or after the time since cost more than their budget at a price.
+func (h *History) overspent(since time.Duration, share, price float64) bool {
+	overspend := 0.0
+	for i := range h.offers {
+		if offer := &h.offers[i]; offer.At >= since {
+			overspend += offer.AdmissionProbability(price)*offer.Cost - share*offer.BudgetBase
 		}
 	}
-	return balance > 0
+	return overspend > 0
 }
--- a/internal/gateway/ceiling.go
+++ b/internal/gateway/ceiling.go
@@ -17,10 +17,10 @@
 )
 
 // newLimits takes all to have been used up when this gateway started, as before a restart it may have been.
-func (g *Gateway) newLimits(plan *Plan, set shares.Set) limits {
-	parts := set.Buckets(plan.CeilingBurst, g.settings.LargestUnits)
-	return limits{usage: g.usageOf(plan), admitted: 1, parts: float64(parts), hasCeilingPart: set.Among(parts),
-		ceilingAt: g.startedAt, openLimit: set.Whole(plan.Open), openAt: g.startedAt}
+func (g *Gateway) newLimits(plan *Plan, set shares.Position) limits {
+	parts := set.BucketShares(plan.CeilingBurst, g.settings.LargestUnits)
+	return limits{usage: g.usageOf(plan), admitted: 1, parts: float64(parts), hasCeilingPart: set.HasShare(parts),
+		ceilingAt: g.startedAt, openLimit: set.IntShare(plan.Open), openAt: g.startedAt}
 }
 
 // underCeiling keeps this gateway's part of the customer's second token bucket: an even part, so that all parts
--- a/internal/gateway/excess.go
+++ b/internal/gateway/excess.go
@@ -39,14 +39,14 @@
 	usage.squares += unitsFade * (units*units - usage.squares)
 	beyond, worth := g.excess(c, &use, units), cl.Worth*plan.Price*units
 	offer := budget.Offer{At: g.now, Value: worth * (1 - beyond + beyond*plan.OverWorth),
-		Cost: worth * beyond * plan.OverCost,
-		Base: worth * usage.use.ShareWithin(usageGrid, eventually(usage.admitted, returns))}
+		Cost:       worth * beyond * plan.OverCost,
+		BudgetBase: worth * usage.use.MeanShareWithin(usageGrid, eventually(usage.admitted, returns))}
 	if unknown {
-		offer.Least = leastPlan * (1 - returns) / (1 - leastPlan*returns) // of the clients, who may come again
+		offer.MinAdmission = leastPlan * (1 - returns) / (1 - leastPlan*returns) // of the clients, who may come again
 	}
 	g.price.requests++
 	g.price.offers.Add(offer)
-	p := offer.Admission(cl.shadowPrice)
+	p := offer.AdmissionProbability(cl.shadowPrice)
 	inside := worth * (1 - beyond)
 	cl.admitted += eventually(p, returns)*inside - classFades*cl.admitted
 	cl.asked += inside - classFades*cl.asked
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -38,7 +38,7 @@
 	}
 	g.partSize[sharedPool], g.bestLatency, g.usage = math.Inf(1), g.meanLatency, map[*Plan]*planUsage{}
 	g.population = stats.NewPopulation(priorUsage, mostSamples)
-	g.price = excessPrice{shadow: firstPrice, offers: budget.NewLedger(mostOffers)}
+	g.price = excessPrice{shadow: firstPrice, offers: budget.NewHistory(mostOffers)}
 	return g, nil
 }
 
--- a/internal/gateway/health.go
+++ b/internal/gateway/health.go
@@ -68,7 +68,7 @@
 	ready := float64(g.ranking.Len() - g.unavailable.Len())
 	if *warm == 0 {
 		sum := ready
-		g.coldBackends.Sweep(func(o *backend) bool {
+		g.coldBackends.Retain(func(o *backend) bool {
 			sum += float64(b2i(o.State == Ready)) * (g.warmth(o) - 1)
 			return o.cold && g.backends[o.ID] == o
 		})
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -26,7 +26,7 @@
 		offset := ((g.settings.Me-ev.FirstGateway)%all + all) % all
 		c = &customer{plan: plan, gateways: float64(doors), passShare: 1, bucketAt: g.now,
 			period: g.settings.MeterPeriod.Seconds()}
-		set := shares.Set{Gateways: doors, Offset: offset, Customer: uint64(ev.Customer)}
+		set := shares.Position{Gateways: doors, Offset: offset, Customer: uint64(ev.Customer)}
 		c.limits = g.newLimits(plan, set)
 		c.bucket = c.capacity()
 		g.customers[ev.Customer] = c
--- a/internal/gateway/reserves.go
+++ b/internal/gateway/reserves.go
@@ -100,7 +100,7 @@
 func (g *Gateway) split() {
 	low, high := g.tiers[0], g.tiers[1]
 	mu := 1 / max(g.meanLatency, 1e-6)
-	nh, nl := reservation.Split(g.limit, reservation.Load{High: high.rate, Low: low.rate, Service: mu,
+	nh, nl := reservation.Split(g.limit, reservation.Load{HighRate: high.rate, LowRate: low.rate, Service: mu,
 		HighValue: max(high.mean, low.mean), LowValue: low.mean}, alpha, splitSteps)
 	g.partSize = [3]float64{nh, nl, g.limit - nh - nl}
 }
--- a/internal/gateway/selection.go
+++ b/internal/gateway/selection.go
@@ -41,7 +41,7 @@
 			g.unavailable.Add(b)
 		}
 	}
-	g.unavailable.Sweep(func(b *backend) bool {
+	g.unavailable.Retain(func(b *backend) bool {
 		if b.State == Gone && b.out == 0 {
 			delete(g.backends, b.ID)
 			g.ranking.Delete(b.rank)
@@ -56,7 +56,7 @@
 func (g *Gateway) choose(r *request) *backend {
 	var best *backend
 	least, seen, warm, known := math.Inf(1), 0.0, 0.0, g.subsetSize()
-	for walk := g.ranking.Some(int(known), mostLooked, g.rng); seen < min(known, mostLooked) && walk.Next(); {
+	for walk := g.ranking.Walk(int(known), mostLooked, g.rng); seen < min(known, mostLooked) && walk.Next(); {
 		b := walk.Value()
 		if b.State != Ready || g.now < b.holdUntil || !g.fresh(b) || !g.eligible(r, b) {
 			continue
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -120,8 +120,8 @@
 	population     *stats.Population // the use of the customer of a request, by plan
 	price          excessPrice
 
-	ranking                   ranked.List[*backend] // by rank
-	unavailable, coldBackends ranked.Bag[*backend]  // not ready; cold, and some that were
+	ranking                   ranked.List[*backend]       // by rank
+	unavailable, coldBackends ranked.OrderedSet[*backend] // not ready; cold, and some that were
 
 	recentValues []float64 // of the last medianOver arrivals
 	medianValue  float64
@@ -165,10 +165,10 @@
 // excessPrice is what a gateway keeps of the price of what it admits.
 type excessPrice struct {
 	shadow   float64
-	offers   *budget.Ledger // the latest requests
-	requests float64        // fading: all
-	rejected float64        // those rejected by their price
-	returned float64        // those of clients that were rejected just before
+	offers   *budget.History // the latest requests
+	requests float64         // fading: all
+	rejected float64         // those rejected by their price
+	returned float64         // those of clients that were rejected just before
 }
 
 // planUsage is what a gateway has learnt of the customers of a plan.
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -97,7 +97,7 @@
 		from = c.bucketAt
 	}
 	changed := 1 - math.Exp(-(age+c.period/2)/changeEvery.Seconds())
-	anew := c.usage.use.Posterior(&usageGrid.Rate)
+	anew := c.usage.use.Posterior(&usageGrid.Rates)
 	for i := range use {
 		use[i] += changed * (anew[i] - use[i])
 	}
@@ -123,7 +123,7 @@
 	limited := c.plan.Open > 0 && limit < c.gateways
 	out := c.othersShare() / (c.gateways - 1) * g.outAtQuota(c) // of each of the other gateways
 	unseen := 0.0
-	var bucket stats.Bucket
+	var bucket stats.TokenBucket
 	if c.plan.Rate > 0 && units > 0 {
 		unseen = 1 - min(1, 2/c.gateways)
 		bucket = g.bucket(c, units)
@@ -133,9 +133,9 @@
 		if weight < leastWeight {
 			continue
 		}
-		rate, inside := usageGrid.Rate[i], 1.0
+		rate, inside := usageGrid.Rates[i], 1.0
 		if unseen > 0 {
-			inside -= unseen * bucket.Short(rate, usageGrid.Log(i))
+			inside -= unseen * bucket.ShortageProbability(rate, usageGrid.LogRate(i))
 		}
 		if limited {
 			inside *= stats.BinomialBelow(c.plan.Open, c.gateways-1, min(limit/c.gateways, rate*out))
@@ -146,21 +146,21 @@
 }
 
 // bucket is what is known of the customer's token bucket, before a request of so many units.
-func (g *Gateway) bucket(c *customer, units float64) stats.Bucket {
+func (g *Gateway) bucket(c *customer, units float64) stats.TokenBucket {
 	one, rate := c.requestTime(), c.plan.Rate
 	filled := (g.now - g.startedAt).Seconds()
-	b := stats.Bucket{Places: queueScale*max(1, c.plan.Burst/units) - queueLess, Filled: filled / one,
-		Full: (c.plan.Burst - units) / rate / one, Fresh: !g.metered && filled < drainsIn*c.plan.Burst/rate}
+	b := stats.TokenBucket{QueueSize: queueScale*max(1, c.plan.Burst/units) - queueLess, RefillSinceFull: filled / one,
+		FullHeadroom: (c.plan.Burst - units) / rate / one, WasFull: !g.metered && filled < drainsIn*c.plan.Burst/rate}
 	if c.meteredFor == 0 {
 		return b
 	}
-	b.Known = 1 - math.Exp(-(g.now-c.followedFrom).Seconds()/min(longestFollow, c.plan.Burst/rate))
-	b.Spare = (c.bucket/100 - units/rate) / one
+	b.ReadingWeight = 1 - math.Exp(-(g.now-c.followedFrom).Seconds()/min(longestFollow, c.plan.Burst/rate))
+	b.Headroom = (c.bucket/100 - units/rate) / one
 	for _, d := range c.recentSends {
-		b.Spare -= d.percentSeconds / 100 / one
+		b.Headroom -= d.percentSeconds / 100 / one
 	}
-	b.Refill = max(0, (g.now-c.bucketAt).Seconds()) / one
-	b.Others = c.othersShare()
+	b.RefillSinceReading = max(0, (g.now-c.bucketAt).Seconds()) / one
+	b.OthersShare = c.othersShare()
 	return b
 }
 
@@ -177,9 +177,9 @@
 	most := int(min(mostRead, math.Round(use*float64(c.plan.Open))))
 	services := c.period / g.meanLatency
 	var likelihood stats.Weights
-	for i, rate := range usageGrid.Rate {
+	for i, rate := range usageGrid.Rates {
 		out := rate * g.outAtQuota(c)
-		exactly := stats.MostPresent(most, out, services) - stats.MostPresent(most-1, out, services)
+		exactly := stats.MaxOccupancyCDF(most, out, services) - stats.MaxOccupancyCDF(most-1, out, services)
 		likelihood[i] = max(leastLikely, exactly)
 	}
 	return likelihood
--- a/internal/ranked/bag.go
+++ b/internal/ranked/bag.go
@@ -1,37 +1,38 @@
 package ranked
 
-// Bag holds different values in the order in which they were added. The zero Bag is empty and ready.
-type Bag[T comparable] struct {
-	values []T
-	has    map[T]struct{}
+// OrderedSet is a set of values that keeps the order in which they were added. The zero OrderedSet is empty and ready
+// to use.
+type OrderedSet[T comparable] struct {
+	values  []T
+	members map[T]struct{}
 }
 
-// Len is how many values the bag holds.
-func (b *Bag[T]) Len() int { return len(b.values) }
+// Len returns the number of values in the set.
+func (s *OrderedSet[T]) Len() int { return len(s.values) }
 
-// Add puts a value in, unless it is there.
-func (b *Bag[T]) Add(value T) {
-	if _, there := b.has[value]; there {
+// Add appends a value, unless the set holds it.
+func (s *OrderedSet[T]) Add(value T) {
+	if _, present := s.members[value]; present {
 		return
 	}
-	if b.has == nil {
-		b.has = map[T]struct{}{}
+	if s.members == nil {
+		s.members = map[T]struct{}{}
 	}
-	b.has[value] = struct{}{}
-	b.values = append(b.values, value)
+	s.members[value] = struct{}{}
+	s.values = append(s.values, value)
 }
 
-// Sweep calls keep with each value, in order, and takes out those for which it is false. The bag must not change
-// meanwhile.
-func (b *Bag[T]) Sweep(keep func(T) bool) {
-	kept := b.values[:0]
-	for _, value := range b.values {
+// Retain calls keep with each value, in order, and removes those for which it returns false. The function must not
+// change the set.
+func (s *OrderedSet[T]) Retain(keep func(T) bool) {
+	kept := s.values[:0]
+	for _, value := range s.values {
 		if keep(value) {
 			kept = append(kept, value)
 		} else {
-			delete(b.has, value)
+			delete(s.members, value)
 		}
 	}
-	clear(b.values[len(kept):])
-	b.values = kept
+	clear(s.values[len(kept):])
+	s.values = kept
 }
--- a/internal/ranked/list_test.go
+++ b/internal/ranked/list_test.go
@@ -6,121 +6,123 @@
 	"testing"
 )
 
-// Whatever is added and removed, the list gives what a sorted slice gives, also turned.
-func TestListIsASortedSlice(t *testing.T) {
-	random := rand.New(rand.NewPCG(1, 2))
+// After any insertions and deletions, the list iterates like a sorted slice, also with its beginning rotated.
+func TestListMatchesSortedSlice(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
 	var list List[uint64]
 	var want []uint64
 	check := func() {
 		t.Helper()
 		if got := slices.Collect(list.All()); !slices.Equal(got, want) || list.Len() != len(want) {
-			t.Fatalf("%d values, %d wanted", len(got), len(want))
+			t.Fatalf("iteration gives %d values, want %d, in order of rank", len(got), len(want))
 		}
 		if len(want) == 0 {
 			return
 		}
-		count := 1 + random.IntN(len(want))
-		from := random.IntN(count)
-		turned := slices.Concat(want[from:count], want[:from], want[count:])
-		if got := collect(list.From(from, count)); !slices.Equal(got, turned) {
-			t.Fatalf("turned by %d of %d: %d values, %d wanted", from, count, len(got), len(turned))
+		count := 1 + rng.IntN(len(want))
+		start := rng.IntN(count)
+		rotated := slices.Concat(want[start:count], want[:start], want[count:])
+		if got := collect(list.WalkFrom(start, count)); !slices.Equal(got, rotated) {
+			t.Fatalf("WalkFrom(%d, %d) gives %d values, want %d, rotated", start, count, len(got), len(rotated))
 		}
 		for value := range list.All() {
 			if value != want[0] {
-				t.Fatalf("the first is %d, want %d", value, want[0])
+				t.Fatalf("the first value is %d, want %d", value, want[0])
 			}
 			break
 		}
 	}
 	check()
-	for step := range 6 * mostInBlock {
-		rank := random.Uint64N(1 << 40)
-		if place, found := slices.BinarySearch(want, rank); !found {
-			want = slices.Insert(want, place, rank)
+	for step := range 6 * maxBlockLength {
+		rank := rng.Uint64N(1 << 40)
+		if index, found := slices.BinarySearch(want, rank); !found {
+			want = slices.Insert(want, index, rank)
 		}
 		list.Insert(rank, rank)
-		list.Insert(rank, rank) // the same once more
-		list.Delete(rank + 1)   // not there, or so it is taken off below
-		if place, found := slices.BinarySearch(want, rank+1); found {
-			want = slices.Delete(want, place, place+1)
+		list.Insert(rank, rank) // replaces the value
+		list.Delete(rank + 1)   // mostly absent; if present, deleted from want below
+		if index, found := slices.BinarySearch(want, rank+1); found {
+			want = slices.Delete(want, index, index+1)
 		}
 		if step%100 == 0 {
 			check()
 		}
 	}
 	for len(want) > 0 {
-		place := random.IntN(len(want))
-		list.Delete(want[place])
-		want = slices.Delete(want, place, place+1)
+		index := rng.IntN(len(want))
+		list.Delete(want[index])
+		want = slices.Delete(want, index, index+1)
 		if len(want)%100 == 0 {
 			check()
 		}
 	}
 }
 
-func collect[T any](walk Walk[T]) (values []T) {
-	for walk.Next() {
-		values = append(values, walk.Value())
+func collect[T any](iterator Iterator[T]) (values []T) {
+	for iterator.Next() {
+		values = append(values, iterator.Value())
 	}
 	return values
 }
 
-// Memory is given back as values leave, block by block.
-func TestEmptyBlocksGo(t *testing.T) {
+// Blocks that become empty are removed, so that a list that shrinks releases their memory.
+func TestEmptyBlocksAreRemoved(t *testing.T) {
 	var list List[int]
-	for i := range 10 * mostInBlock {
+	for i := range 10 * maxBlockLength {
 		list.Insert(uint64(i), i)
 	}
-	for i := range 10 * mostInBlock {
+	for i := range 10 * maxBlockLength {
 		list.Delete(uint64(i))
 	}
 	if len(list.blocks) != 0 || list.Len() != 0 {
-		t.Errorf("%d blocks of %d values are left", len(list.blocks), list.Len())
+		t.Errorf("%d blocks and %d values are left, want none", len(list.blocks), list.Len())
 	}
 }
 
-// A bag holds each value once, in the order of adding, and again after it was swept out.
-func TestBag(t *testing.T) {
-	var bag Bag[int]
+// The set holds each value once, in the order of insertion. A value that was removed can be added again.
+func TestOrderedSet(t *testing.T) {
+	var set OrderedSet[int]
 	for _, value := range []int{5, 3, 5, 8, 3, 1} {
-		bag.Add(value)
+		set.Add(value)
 	}
 	var seen []int
-	bag.Sweep(func(value int) bool {
+	set.Retain(func(value int) bool {
 		seen = append(seen, value)
 		return value != 3 && value != 1
 	})
-	if !slices.Equal(seen, []int{5, 3, 8, 1}) || bag.Len() != 2 {
-		t.Errorf("swept %v, %d left", seen, bag.Len())
+	if !slices.Equal(seen, []int{5, 3, 8, 1}) || set.Len() != 2 {
+		t.Errorf("Retain saw %v and left %d values, want 4 seen and 2 left", seen, set.Len())
 	}
-	bag.Add(5)
-	bag.Add(3)
-	if !slices.Equal(bag.values, []int{5, 8, 3}) || len(bag.has) != 3 {
-		t.Errorf("%v in %v", bag.values, bag.has)
+	set.Add(5)
+	set.Add(3)
+	if !slices.Equal(set.values, []int{5, 8, 3}) || len(set.members) != 3 {
+		t.Errorf("values %v, members %v, want 5, 8 and 3", set.values, set.members)
 	}
 }
 
-// Walks of a part see all of the first values alike, and no others; a walk that can see all of them is in order.
-func TestSomeSeesAllAlike(t *testing.T) {
-	const length, count, most, walks = 3 * mostInBlock, 1000, 100, 5000
+// Iterations that stop after limit values see each of the first count values equally often, and no others. An iteration
+// whose limit covers the first count values is in order and draws no random number: its generator is nil here.
+func TestWalkSelectsUniformly(t *testing.T) {
+	const length, count, limit, walks = 3 * maxBlockLength, 1000, 100, 5000
 	var list List[int]
 	for i := range length {
 		list.Insert(uint64(i), i)
 	}
-	random := rand.New(rand.NewPCG(3, 4))
-	var seen [length]int
+	rng := rand.New(rand.NewPCG(3, 4))
+	var visits [length]int
 	for range walks {
-		left := most
-		for walk := list.Some(count, most, random); left > 0 && walk.Next(); left-- {
-			seen[walk.Value()]++
+		remaining := limit
+		for iterator := list.Walk(count, limit, rng); remaining > 0 && iterator.Next(); remaining-- {
+			visits[iterator.Value()]++
 		}
 	}
-	const mean = walks * most / count
-	if least, highest := slices.Min(seen[:count]), slices.Max(seen[:count]); least < mean*2/3 || highest > mean*4/3 ||
-		slices.Max(seen[count:]) > 0 {
-		t.Errorf("seen %d to %d times, %d on average; beyond them %d", least, highest, mean, slices.Max(seen[count:]))
+	const mean = walks * limit / count
+	if fewest, most := slices.Min(visits[:count]), slices.Max(visits[:count]); fewest < mean*2/3 || most > mean*4/3 ||
+		slices.Max(visits[count:]) > 0 {
+		t.Errorf("first values visited %d to %d times, want about %d; others up to %d times, want 0", fewest, most,
+			mean, slices.Max(visits[count:]))
 	}
-	if got := collect(list.Some(most, most, nil)); !slices.IsSorted(got) || len(got) != length {
-		t.Errorf("a walk that sees all is not in order, or gives %d of %d", len(got), length)
+	if got := collect(list.Walk(limit, limit, nil)); !slices.IsSorted(got) || len(got) != length {
+		t.Errorf("an iteration with a sufficient limit is not in order, or gives %d values of %d", len(got), length)
 	}
 }
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -5,84 +5,98 @@
 	"testing"
 )
 
-const subrated, steps = 2, 20
+const lowPerHigh, searchSteps = 2, 20
 
-// naivePayoff sums the paper's formulas (2), (3), (7), (11) and (9) as they stand, with factorials.
-func naivePayoff(nh, nl, nm int, lh, ll, mu, vh, vl float64) float64 {
-	fact := func(k int) float64 { return math.Gamma(float64(k) + 1) }
-	p := func(a float64, k, n int) float64 {
+// payoffByPaperSums computes the payoff by the paper's formulas (2), (3), (7), (11) and (9) as they are written there,
+// with sums over factorials.
+func payoffByPaperSums(highSlots, lowSlots, poolSlots int,
+	highRate, lowRate, service, highValue, lowValue float64) float64 {
+	factorial := func(k int) float64 { return math.Gamma(float64(k) + 1) }
+	// prob returns the probability that k of n servers are busy at a load a.
+	prob := func(a float64, k, n int) float64 {
 		sum := 0.0
 		for j := 0; j <= n; j++ {
-			sum += math.Pow(a, float64(j)) / fact(j)
+			sum += math.Pow(a, float64(j)) / factorial(j)
 		}
-		return math.Pow(a, float64(k)) / fact(k) / sum
+		return math.Pow(a, float64(k)) / factorial(k) / sum
 	}
 	total := 0.0
-	for i := 1; i <= nh; i++ {
-		total += float64(i) * mu * vh * p(lh/mu, i, nh)
+	for i := 1; i <= highSlots; i++ {
+		total += float64(i) * service * highValue * prob(highRate/service, i, highSlots)
 	}
-	for i := 1; i <= nl; i++ {
-		total += float64(i) * mu * vl * p(ll/mu, i, nl)
+	for i := 1; i <= lowSlots; i++ {
+		total += float64(i) * service * lowValue * prob(lowRate/service, i, lowSlots)
 	}
-	fh, fl := lh*p(lh/mu, nh, nh), ll*p(ll/mu, nl, nl)
-	for i := 0; i <= nm; i++ {
-		for j := 0; j <= nm-i; j++ {
-			total += p(fh/mu, i, nm) * p(fl/mu, j, nm-i) * (float64(i)*mu*vh + float64(j)*mu*vl)
+	highOverflow, lowOverflow := highRate*prob(highRate/service, highSlots, highSlots),
+		lowRate*prob(lowRate/service, lowSlots, lowSlots)
+	for i := 0; i <= poolSlots; i++ {
+		for j := 0; j <= poolSlots-i; j++ {
+			total += prob(highOverflow/service, i, poolSlots) * prob(lowOverflow/service, j, poolSlots-i) *
+				(float64(i)*service*highValue + float64(j)*service*lowValue)
 		}
-		full := p(fh/mu, i, nm) * p(fl/mu, nm-i, nm-i)
-		omega := (nm - i) / subrated
-		for k := 0; k <= omega; k++ {
-			total += full * float64(k) * mu * (vh - vl) * p(fh/mu, k, omega)
+		poolFull := prob(highOverflow/service, i, poolSlots) * prob(lowOverflow/service, poolSlots-i, poolSlots-i)
+		subratedSlots := (poolSlots - i) / lowPerHigh
+		for k := 0; k <= subratedSlots; k++ {
+			total += poolFull * float64(k) * service * (highValue - lowValue) *
+				prob(highOverflow/service, k, subratedSlots)
 		}
-		total -= full * (fh*vh*p(fh/mu, omega, omega) + fl*vl)
+		total -= poolFull * (highOverflow*highValue*prob(highOverflow/service, subratedSlots, subratedSlots) +
+			lowOverflow*lowValue)
 	}
 	return total
 }
 
-func TestPayoffAgainstTheNaiveSum(t *testing.T) {
-	for _, c := range []struct {
-		nh, nl, nm         int
-		lh, ll, mu, vh, vl float64
+func TestPayoffMatchesPaperSums(t *testing.T) {
+	for _, tc := range []struct {
+		highSlots, lowSlots, poolSlots                  int
+		highRate, lowRate, service, highValue, lowValue float64
 	}{
 		{2, 0, 14, 5, 10, 1, 2, 1}, {8, 0, 8, 10, 10, 1, 5, 1}, {3, 4, 9, 15, 10, 1, 10, 1}, {0, 0, 1, 3, 2, 4, 2, 2},
 		{5, 5, 0, 5, 5, 1, 3, 1}, {2, 2, 6, 0, 9, 1, 3, 1}, {2, 2, 6, 9, 0, 1, 3, 1}, {0, 0, 4, 0, 0, 1, 1, 1},
 	} {
-		got := Payoff(c.nh, c.nl, c.nm, Load{c.lh, c.ll, c.mu, c.vh, c.vl}, subrated)
-		want := naivePayoff(c.nh, c.nl, c.nm, c.lh, c.ll, c.mu, c.vh, c.vl)
+		got := Payoff(tc.highSlots, tc.lowSlots, tc.poolSlots,
+			Load{tc.highRate, tc.lowRate, tc.service, tc.highValue, tc.lowValue}, lowPerHigh)
+		want := payoffByPaperSums(tc.highSlots, tc.lowSlots, tc.poolSlots,
+			tc.highRate, tc.lowRate, tc.service, tc.highValue, tc.lowValue)
 		if math.Abs(got-want) > 1e-9*(1+math.Abs(want)) {
-			t.Errorf("%+v: %v, want %v", c, got, want)
+			t.Errorf("payoff of %+v: got %v, want %v", tc, got, want)
 		}
 	}
 }
 
-func TestSplitEdges(t *testing.T) {
-	for _, c := range []struct{ n, lh, ll, mu, vh, vl float64 }{
+func TestSplitEdgeCasesAndOptimum(t *testing.T) {
+	for _, tc := range []struct{ slots, highRate, lowRate, service, highValue, lowValue float64 }{
 		{math.Inf(1), 5, 5, 1, 2, 1}, {1, 5, 5, 1, 2, 1}, {16, 0, 9, 1, 2, 1}, {16, 9, 0, 1, 2, 1},
 		{16, 9, 9, 1, 1, 1}, {3000, 2000, 2000, 1, 2, 1}, {16, 0, 0, 1, 0, 0},
 	} {
-		h, l := Split(c.n, Load{c.lh, c.ll, c.mu, c.vh, c.vl}, subrated, steps)
-		if math.IsNaN(h) || h < 0 || l < 0 || h+l > c.n || math.IsInf(c.n, 1) && h+l != 0 {
-			t.Errorf("%+v: %v %v", c, h, l)
+		high, low := Split(tc.slots, Load{tc.highRate, tc.lowRate, tc.service, tc.highValue, tc.lowValue},
+			lowPerHigh, searchSteps)
+		if math.IsNaN(high) || high < 0 || low < 0 || high+low > tc.slots || math.IsInf(tc.slots, 1) && high+low != 0 {
+			t.Errorf("split of %+v: invalid reserves: high %v, low %v", tc, high, low)
 		}
 	}
-	best, bh, bl := math.Inf(-1), 0, 0
-	for h := 0; h <= 16; h++ {
-		for l := 0; l+h <= 16; l++ {
-			if p := naivePayoff(h, l, 16-h-l, 15, 10, 1, 2, 1); p > best+1e-9 {
-				best, bh, bl = p, h, l
+	bestPayoff, bestHigh, bestLow := math.Inf(-1), 0, 0
+	for high := 0; high <= 16; high++ {
+		for low := 0; low+high <= 16; low++ {
+			if payoff := payoffByPaperSums(high, low, 16-high-low, 15, 10, 1, 2, 1); payoff > bestPayoff+1e-9 {
+				bestPayoff, bestHigh, bestLow = payoff, high, low
 			}
 		}
 	}
-	if h, l := Split(16, Load{15, 10, 1, 2, 1}, subrated, steps); int(h) != bh || int(l) != bl {
-		t.Errorf("split %v %v, the naive search finds %d %d", h, l, bh, bl)
+	if high, low := Split(16, Load{15, 10, 1, 2, 1}, lowPerHigh, searchSteps); int(high) != bestHigh ||
+		int(low) != bestLow {
+		t.Errorf("split of 16 slots: got reserves %v and %v, an exhaustive search finds %d and %d", high, low,
+			bestHigh, bestLow)
 	}
 }
 
-// The split of a small N is that of a larger whole, in its proportion.
-func TestSmallNIsSplitInProportion(t *testing.T) {
-	h, l := Split(20, Load{15, 10, 1, 5, 1}, subrated, steps)
-	sh, sl := Split(0.2, Load{0.15, 0.1, 1, 5, 1}, subrated, steps)
-	if math.Abs(sh-h/100) > 1e-9 || math.Abs(sl-l/100) > 1e-9 || h+l == 0 {
-		t.Errorf("split %v %v of 20 slots, %v %v of a fifth of one", h, l, sh, sl)
+// A split of fewer slots than search steps, even of a fraction of one, is in proportion to that of more slots at the
+// same load.
+func TestFractionalSlotsAreSplitInProportion(t *testing.T) {
+	high, low := Split(20, Load{15, 10, 1, 5, 1}, lowPerHigh, searchSteps)
+	smallHigh, smallLow := Split(0.2, Load{0.15, 0.1, 1, 5, 1}, lowPerHigh, searchSteps)
+	if math.Abs(smallHigh-high/100) > 1e-9 || math.Abs(smallLow-low/100) > 1e-9 || high+low == 0 {
+		t.Errorf("reserves of 20 slots: %v and %v; of 0.2 slots at 1/100 of the load: %v and %v", high, low,
+			smallHigh, smallLow)
 	}
 }
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -1,41 +1,50 @@
-// Package shares splits what a customer may use between the gateways of its set, so that the shares add up to the whole.
+// Package shares splits a customer's limits between the gateways that serve the customer, so that the shares add up to
+// the limit without any communication between the gateways.
 package shares
 
 import "math"
 
-// Set is a gateway's place in a customer's set.
-type Set struct {
-	Gateways int    // in the set
-	Offset   int    // of this gateway from the first of the set; at least Gateways where it does not belong to it
+// Position is the position of a gateway among the gateways that serve a customer: a run of consecutive gateways of the
+// fleet.
+type Position struct {
+	Gateways int    // number of gateways that serve the customer, at least 1
+	Offset   int    // of this gateway from the first of them, from 0; Gateways or more if it is none of them
 	Customer uint64 // the customer's number
 }
 
-// rank orders the gateways for what does not divide evenly between them, in another way for each customer, so that no
-// gateway is left out for all of them.
-func (s Set) rank() int { return (s.Offset + int(s.Customer%uint64(s.Gateways))) % s.Gateways }
+// remainderRank is the gateway's rank, from 0, for the remainder of a limit that does not divide evenly. The ranks are
+// rotated by the customer's number, so that no gateway is left without a share for all customers.
+func (p Position) remainderRank() int {
+	return (p.Offset + int(p.Customer%uint64(p.Gateways))) % p.Gateways
+}
 
-// Among tells whether this gateway is one of so many gateways of the set.
-func (s Set) Among(n int) bool { return s.Offset < s.Gateways && s.rank() < n }
+// HasShare reports whether this gateway has one of the given number of shares, of which each gateway has one at most.
+func (p Position) HasShare(shares int) bool {
+	return p.Offset < p.Gateways && p.remainderRank() < shares
+}
 
-// Buckets is into how many parts a bucket is split: one for each gateway, or, where such a part could never hold one of
-// the largest requests, as many as can.
-func (s Set) Buckets(size, largest float64) int {
-	if largest <= 0 {
-		return s.Gateways
+// BucketShares returns the number of shares into which a token bucket of the given size is split: one for each gateway,
+// or, if such a share could never hold the largest request, as many as can, but at least 1. The largest request is in
+// units as the size is; if it is 0 or less, each gateway has a share.
+func (p Position) BucketShares(size, largestRequest float64) int {
+	if largestRequest <= 0 {
+		return p.Gateways
 	}
-	return int(max(1, min(float64(s.Gateways), math.Floor(size/largest))))
+	return int(max(1, min(float64(p.Gateways), math.Floor(size/largestRequest))))
 }
 
-// Whole is how many of a whole number this gateway has. What does not divide evenly goes to some of the gateways. Where
-// there are fewer than gateways each has one, to be used for its share of the time.
-func (s Set) Whole(of int) int {
+// IntShare returns this gateway's share of a limit that is a whole number. The remainder of an uneven division goes,
+// one each, to some of the gateways. If the limit is below the number of gateways, even if it is 0, the share of each
+// is 1; it must use that for total/Gateways of the time only, so that on average the shares add up to the limit. The
+// share is 0 if the gateway does not serve the customer.
+func (p Position) IntShare(total int) int {
 	switch {
-	case s.Offset >= s.Gateways:
+	case p.Offset >= p.Gateways:
 		return 0
-	case of < s.Gateways:
+	case total < p.Gateways:
 		return 1
-	case s.rank() < of%s.Gateways:
-		return of/s.Gateways + 1
+	case p.remainderRank() < total%p.Gateways:
+		return total/p.Gateways + 1
 	}
-	return of / s.Gateways
+	return total / p.Gateways
 }
--- a/internal/stats/mixture.go
+++ b/internal/stats/mixture.go
@@ -2,114 +2,124 @@
 
 import "math"
 
-// GridSize is the number of rates that a Mixture is kept over.
+// GridSize is the number of rates in a Grid.
 const GridSize = 12
 
-// Grid is a list of rates with their logarithms.
-type Grid struct{ Rate, log Weights }
+// Grid holds the rates over which discrete distributions of a rate are kept.
+type Grid struct {
+	Rates Weights
+	logs  Weights // natural logarithms of Rates
+}
 
-// NewGrid returns the grid of the given rates, all above 0.
+// NewGrid returns the grid of the given rates, all of which must be above 0.
 func NewGrid(rates Weights) *Grid {
-	g := &Grid{Rate: rates}
+	g := &Grid{Rates: rates}
 	for i, rate := range rates {
-		g.log[i] = math.Log(rate)
+		g.logs[i] = math.Log(rate)
 	}
 	return g
 }
 
-// Log returns the natural logarithm of the i-th rate.
-func (g *Grid) Log(i int) float64 { return g.log[i] }
+// LogRate returns the natural logarithm of the i-th rate.
+func (g *Grid) LogRate(i int) float64 { return g.logs[i] }
 
-// Weights are the weights of the rates of a grid. As a distribution they add up to 1.
+// Weights holds one number for each rate of a Grid. As a distribution, the numbers are probabilities that add up to 1;
+// as likelihoods they are relative to each other only.
 type Weights [GridSize]float64
 
-// Mean returns the mean rate.
+// Mean returns the mean rate of the distribution.
 func (w *Weights) Mean(g *Grid) float64 {
 	mean := 0.0
 	for i, weight := range w {
-		mean += weight * g.Rate[i]
+		mean += weight * g.Rates[i]
 	}
 	return mean
 }
 
-// ShareWithin returns the mean share of a rate that a limit leaves of it.
-func (w *Weights) ShareWithin(g *Grid, limit float64) float64 {
+// MeanShareWithin returns the expected value of min(1, limit/rate) over the distribution: the mean share of a rate that
+// a limit, which must be 0 or more, admits. It is 1 if the limit is at least the largest rate.
+func (w *Weights) MeanShareWithin(g *Grid, limit float64) float64 {
 	mean := 0.0
 	for i, weight := range w {
-		mean += weight * min(1, limit/g.Rate[i])
+		mean += weight * min(1, limit/g.Rates[i])
 	}
 	return mean
 }
 
-// Sample is one observation of a population: how likely it is at each rate of the grid, what it counts for, and the
-// group of the population that it was drawn from.
+// Sample is one observation of a population.
 type Sample struct {
-	Likelihood Weights
-	Weight     float64
-	Group      int
+	Likelihood Weights // likelihood of the observation at each rate of the grid, up to a common factor
+	Weight     float64 // number of observations that it counts for, above 0
+	Group      int     // group of the population that it was drawn from
 }
 
-// AllGroups stands for the whole population.
+// AllGroups, in place of the number of a group, selects the samples of the whole population.
 const AllGroups = -1
 
-// settled is the sum of the changes of the weights in a round of the EM algorithm below which it ends.
-const settled = 0.01
+// emTolerance ends the EM algorithm: it has converged once an iteration changes the weights by less than this in total,
+// as the sum of the absolute changes.
+const emTolerance = 0.01
 
-// Refine returns the distribution of the rates in a group after at most so many rounds of the EM algorithm from w on,
-// fewer where it has settled, with a Dirichlet prior that counts for so many observations of a known rate.
-func (w Weights) Refine(samples []Sample, group int, prior *Weights, observations float64, rounds int) Weights {
-	for range rounds {
+// FitEM estimates the distribution of the rates in a group, or in all groups for AllGroups, by the EM algorithm for the
+// weights of a mixture with fixed components. It starts from w and ends after maxIterations or on convergence. The
+// distribution prior is the mean of a Dirichlet prior that counts for priorWeight observations of a known rate;
+// priorWeight must be above 0. Without samples the result is the prior. Samples whose likelihood is 0 at every rate of
+// positive weight are skipped.
+func (w Weights) FitEM(samples []Sample, group int, prior *Weights, priorWeight float64, maxIterations int) Weights {
+	for range maxIterations {
 		var next Weights
-		total := observations
+		totalWeight := priorWeight
 		for i := range next {
-			next[i] = observations * prior[i]
+			next[i] = priorWeight * prior[i]
 		}
-		for k := range samples {
-			s := &samples[k]
-			if group != AllGroups && s.Group != group {
+		for sampleIndex := range samples {
+			sample := &samples[sampleIndex]
+			if group != AllGroups && sample.Group != group {
 				continue
 			}
-			sum := 0.0
+			evidence := 0.0
 			for i := range w {
-				sum += w[i] * s.Likelihood[i]
+				evidence += w[i] * sample.Likelihood[i]
 			}
-			if sum <= 0 {
+			if evidence <= 0 {
 				continue
 			}
-			total += s.Weight
+			totalWeight += sample.Weight
 			for i := range w {
-				next[i] += s.Weight * w[i] * s.Likelihood[i] / sum
+				next[i] += sample.Weight * w[i] * sample.Likelihood[i] / evidence
 			}
 		}
 		change := 0.0
 		for i := range next {
-			next[i] /= total
+			next[i] /= totalWeight
 			change += math.Abs(next[i] - w[i])
 		}
 		w = next
-		if change < settled {
+		if change < emTolerance {
 			break
 		}
 	}
 	return w
 }
 
-// Likelihood returns how likely count events of a Poisson process over the exposure are at each rate, relative to the
-// likeliest. The exposure is the number of events expected at a rate of 1.
+// Likelihood returns the likelihood of count events of a Poisson process at each rate, relative to that of the
+// likeliest rate, which is 1. The exposure is the number of events expected at a rate of 1. If count and exposure are
+// both 0, it is 1 at every rate.
 func (g *Grid) Likelihood(count, exposure float64) Weights {
 	var likelihood Weights
-	most := math.Inf(-1)
-	for i, rate := range g.Rate {
-		likelihood[i] = count*g.log[i] - exposure*rate
-		most = max(most, likelihood[i])
+	maxLog := math.Inf(-1)
+	for i, rate := range g.Rates {
+		likelihood[i] = count*g.logs[i] - exposure*rate
+		maxLog = max(maxLog, likelihood[i])
 	}
 	for i := range likelihood {
-		likelihood[i] = math.Exp(likelihood[i] - most)
+		likelihood[i] = math.Exp(likelihood[i] - maxLog)
 	}
 	return likelihood
 }
 
-// Posterior returns the distribution after an observation of the given likelihood.
+// Posterior returns the distribution w updated by Bayes' theorem for an observation of the given likelihood. If the
+// likelihood is 0 wherever w is above 0, the result is NaN.
 func (w Weights) Posterior(likelihood *Weights) Weights {
 	sum := 0.0
 	for i := range w {
--- a/internal/stats/population.go
+++ b/internal/stats/population.go
@@ -1,45 +1,47 @@
 package stats
 
-// Population estimates the distribution of a rate in the groups of a population, by empirical Bayes: from the latest
-// samples, by the EM algorithm. The distribution over all groups is the prior of each, and a fixed prior that of all.
+// Population estimates the distribution of a rate in each group of a population from the most recent samples, by
+// empirical Bayes with the EM algorithm. The distribution over all groups is the prior of each group; its own prior is
+// fixed.
 type Population struct {
-	All     Weights
+	Overall Weights // distribution over all groups
 	groups  []*Weights
 	prior   Weights
-	samples []Sample // the latest, in a ring
-	next    int
+	samples []Sample // ring buffer of the most recent samples
+	oldest  int      // index of the oldest sample once the buffer is full
 }
 
-// NewPopulation returns a population whose distribution is the prior, and that keeps so many samples.
-func NewPopulation(prior Weights, samples int) *Population {
-	return &Population{All: prior, prior: prior, samples: make([]Sample, 0, samples)}
+// NewPopulation returns a population without groups that keeps at most maxSamples samples, which must be at least 1.
+// Its overall distribution is the prior until Estimate is called.
+func NewPopulation(prior Weights, maxSamples int) *Population {
+	return &Population{Overall: prior, prior: prior, samples: make([]Sample, 0, maxSamples)}
 }
 
-// AddGroup adds a group and returns its number.
+// AddGroup adds a group and returns its number, counted from 0. The group starts with the present overall distribution.
 func (p *Population) AddGroup() int {
-	group := p.All
+	group := p.Overall
 	p.groups = append(p.groups, &group)
 	return len(p.groups) - 1
 }
 
-// Group returns the distribution of a group, which Estimate brings up to date in place.
+// Group returns the distribution of a group. Estimate updates it in place.
 func (p *Population) Group(group int) *Weights { return p.groups[group] }
 
-// Add takes in a sample.
+// Add records a sample. It replaces the oldest one once the population holds its maximum.
 func (p *Population) Add(sample Sample) {
 	if len(p.samples) < cap(p.samples) {
 		p.samples = append(p.samples, sample)
 		return
 	}
-	p.samples[p.next] = sample
-	p.next = (p.next + 1) % len(p.samples)
+	p.samples[p.oldest] = sample
+	p.oldest = (p.oldest + 1) % len(p.samples)
 }
 
-// Estimate brings the distributions up to the samples, by so many rounds of the EM algorithm. The priors count for so
-// many observations of a known rate.
-func (p *Population) Estimate(observations float64, rounds int) {
-	p.All = p.All.Refine(p.samples, AllGroups, &p.prior, observations, rounds)
+// Estimate updates the distributions from the samples by at most maxIterations of the EM algorithm each. The priors
+// count for priorWeight observations of a known rate, which must be above 0.
+func (p *Population) Estimate(priorWeight float64, maxIterations int) {
+	p.Overall = p.Overall.FitEM(p.samples, AllGroups, &p.prior, priorWeight, maxIterations)
 	for i, group := range p.groups {
-		*group = group.Refine(p.samples, i, &p.All, observations, rounds)
+		*group = group.FitEM(p.samples, i, &p.Overall, priorWeight, maxIterations)
 	}
 }
