--- a/cmd/herontiller/main.go
+++ b/cmd/herontiller/main.go
@@ -47,9 +47,9 @@
 	watching, stopWatching := context.WithCancel(context.Background())
 	defer stopWatching()
 	moves := make(chan string)
-	go frontdoor.Follow(watching, config, moves, loop.Update)
+	go frontdoor.WatchDiscovery(watching, config, moves, loop.Update)
 	go reload(watching, path, hup, moves)
-	slog.Info("serving", "name", config.Name, "listen", listener.Addr(), "backends", len(config.Known.Hosts))
+	slog.Info("serving", "name", config.Name, "listen", listener.Addr(), "backends", len(config.SavedList.Endpoints))
 	err = frontdoor.NewClients(config, loop).Run(ctx, listener)
 	slog.Info("ended", "err", err)
 	return err
--- a/cmd/standin/environment.go
+++ b/cmd/standin/environment.go
@@ -50,8 +50,8 @@
 func endpoints(addresses []string) []frontdoor.Endpoint {
 	hosts := make([]frontdoor.Endpoint, len(addresses))
 	for i, address := range addresses {
-		hosts[i] = frontdoor.Endpoint{Host: fmt.Sprintf("backend-%d", i+1), Dial: address, Site: "zone-a", Class: "standin",
-			Block: i, Health: "Ready", Share: 1}
+		hosts[i] = frontdoor.Endpoint{Host: fmt.Sprintf("backend-%d", i+1), Address: address, Zone: "zone-a", Kind: "standin",
+			Cell: i, State: "Ready", Weight: 1}
 	}
 	return hosts
 }
--- a/cmd/standin/main_test.go
+++ b/cmd/standin/main_test.go
@@ -42,7 +42,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	listed, ended := make(chan struct{}, 16), make(chan error, 1)
-	go frontdoor.Follow(ctx, config, nil, func(list frontdoor.EndpointList) {
+	go frontdoor.WatchDiscovery(ctx, config, nil, func(list frontdoor.EndpointList) {
 		loop.Update(list)
 		select {
 		case listed <- struct{}{}:
--- a/internal/frontdoor/backends.go
+++ b/internal/frontdoor/backends.go
@@ -84,10 +84,10 @@
 
 // NewBackends returns one that knows no backends yet.
 func NewBackends(c Config) *Backends {
-	dialer := &net.Dialer{Timeout: c.Conns.Connect, KeepAlive: -1}
+	dialer := &net.Dialer{Timeout: c.Connections.Connect, KeepAlive: -1}
 	b := &Backends{loadReports: len(c.Settings.LoadColumns) > 0,
 		failureLog: rate.Sometimes{First: 10, Interval: time.Second},
-		pool:       newPool(dialer.DialContext, c.Limits.backendConns(), time.Duration(idleFraction*float64(c.Conns.Idle))),
+		pool:       newPool(dialer.DialContext, c.Limits.backendConns(), time.Duration(idleFraction*float64(c.Connections.Idle))),
 		byHost:     map[string]*backend{}, byID: map[gateway.BackendID]*backend{}}
 	for _, name := range c.Settings.LoadColumns {
 		if short, ok := columnNames[name]; ok {
@@ -102,39 +102,39 @@
 func (b *Backends) update(list EndpointList, c clock) []gateway.BackendInfo {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	infos := make([]gateway.BackendInfo, 0, len(list.Hosts))
-	if list.Whole {
+	infos := make([]gateway.BackendInfo, 0, len(list.Endpoints))
+	if list.Full {
 		for _, be := range b.byHost {
 			be.state = gateway.Gone // unless listed
 		}
 	}
-	for _, e := range list.Hosts {
+	for _, e := range list.Endpoints {
 		be := b.byHost[e.Host]
 		if be == nil {
-			if states[e.Health] == gateway.Gone {
+			if backendStates[e.State] == gateway.Gone {
 				continue // never listed, or removed
 			}
 			b.lastID++
 			be = &backend{id: b.lastID}
 			b.byHost[e.Host], b.byID[be.id] = be, be
 		}
-		if be.endpoint == nil || be.endpoint.addr != e.Dial && e.Dial != "" || be.startedMS != e.BornMS {
+		if be.endpoint == nil || be.endpoint.addr != e.Address && e.Address != "" || be.startedMS != e.StartedMS {
 			if be.endpoint != nil {
 				b.pool.closeEndpoint(be.endpoint) // its connections lead to the former process
 			}
-			be.endpoint = &endpointPool{addr: e.Dial}
+			be.endpoint = &endpointPool{addr: e.Address}
 		}
-		be.startedMS, be.state = e.BornMS, states[e.Health]
-		infos = append(infos, gateway.BackendInfo{ID: be.id, State: be.state, Zone: e.Site, Kind: e.Class, Cell: e.Block,
-			Started: c.unixMilli(e.BornMS), Weight: e.Share})
+		be.startedMS, be.state = e.StartedMS, backendStates[e.State]
+		infos = append(infos, gateway.BackendInfo{ID: be.id, State: be.state, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
+			Started: c.unixMilli(e.StartedMS), Weight: e.Weight})
 	}
-	if list.Whole {
+	if list.Full {
 		for host, be := range b.byHost {
 			b.forgetGone(host, be)
 		}
 		return infos
 	}
-	for _, e := range list.Hosts { // a change must not cost time for all backends
+	for _, e := range list.Endpoints { // a change must not cost time for all backends
 		b.forgetGone(e.Host, b.byHost[e.Host])
 	}
 	return infos
--- a/internal/frontdoor/backends_failure_test.go
+++ b/internal/frontdoor/backends_failure_test.go
@@ -84,14 +84,14 @@
 	b := NewBackends(config(t))
 	ids := map[gateway.BackendID]bool{}
 	for i := range 20 {
-		list := EndpointList{Hosts: []Endpoint{{Host: "s-" + string(rune('a'+i)), Dial: addr, Health: "Ready"}}}
+		list := EndpointList{Endpoints: []Endpoint{{Host: "s-" + string(rune('a'+i)), Address: addr, State: "Ready"}}}
 		id := b.update(list, clock{time.Now()})[0].ID
 		ids[id] = true
 		if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.Answered {
 			t.Fatal(r.result)
 		}
 		if i > 0 { // the next one is there before the last is gone
-			list.Hosts[0].Host, list.Hosts[0].Health = "s-"+string(rune('a'+i-1)), "Gone"
+			list.Endpoints[0].Host, list.Endpoints[0].State = "s-"+string(rune('a'+i-1)), "Gone"
 			b.update(list, clock{time.Now()})
 		}
 	}
@@ -129,7 +129,7 @@
 				io.WriteString(w, "ok")
 			}
 			list := ready(serve(t, handler), serve(t, handler))
-			list.Hosts[1].Block = c.block
+			list.Endpoints[1].Cell = c.block
 			d := startInstance(t, nil)
 			d.loop.Update(list)
 			ask := func(id int, timeout string) (*http.Response, string) {
@@ -180,7 +180,7 @@
 		}
 	}
 	list := ready(serve(t, handler(1)), serve(t, handler(2)))
-	list.Hosts[1].Block = 1 // so that a keyed attempt can't be made elsewhere
+	list.Endpoints[1].Cell = 1 // so that a keyed attempt can't be made elsewhere
 	d := startInstance(t, nil)
 	d.loop.Update(list)
 	ask := func(id int, timeout string) int {
--- a/internal/frontdoor/backends_test.go
+++ b/internal/frontdoor/backends_test.go
@@ -190,12 +190,12 @@
 			go func() { <-dialing; goOn <- true }()
 			b.send(t.Context(), t.Context(), id, lookMessage)
 			<-got
-			list.Hosts[0].Health = "Terminating"
+			list.Endpoints[0].State = "Terminating"
 			b.update(list, clock{time.Now()})
 		} else {
 			go func() {
 				<-dialing
-				list.Hosts[0].Health = "Terminating"
+				list.Endpoints[0].State = "Terminating"
 				b.update(list, clock{time.Now()})
 				goOn <- true
 			}()
@@ -243,13 +243,13 @@
 	if n := len(conns); n != 1 {
 		t.Errorf("%d connections for 5 attempts, one after another", n)
 	}
-	list.Hosts[0].BornMS = 1 // a new process
+	list.Endpoints[0].StartedMS = 1 // a new process
 	if again := b.update(list, clock{time.Now()})[0].ID; again != id {
 		t.Errorf("the host has the id %v, it had %v", again, id)
 	}
 	await(t, closed, "the old process's connection to be closed")
 
-	c.Conns.Idle = 50 * time.Millisecond
+	c.Connections.Idle = 50 * time.Millisecond
 	b = NewBackends(c)
 	id = b.update(list, clock{time.Now()})[0].ID
 	b.send(t.Context(), t.Context(), id, lookMessage)
--- a/internal/frontdoor/config.go
+++ b/internal/frontdoor/config.go
@@ -35,14 +35,14 @@
 
 // Config is the configuration of one instance.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Limits    Limits
-	Known     EndpointList // the backends as this instance last knew them
-	Settings  gateway.Settings
-	Conns     wire.Connections
+	Name        string
+	Listen      string
+	Discovery   string
+	Seed        uint64
+	Limits      Limits
+	SavedList   EndpointList // the backends as this instance last knew them
+	Settings    gateway.Settings
+	Connections wire.Connections
 }
 
 // LoadConfig reads and validates the configuration file at path, which NODE_CONFIG names. Errors name the path.
@@ -98,5 +98,5 @@
 		return Config{}, errors.New("settings without the time-outs of connections")
 	}
 	return Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Seed: seed,
-		Limits: file.Limits, Known: file.Known, Settings: settings, Conns: conns}, nil
+		Limits: file.Limits, SavedList: file.Known, Settings: settings, Connections: conns}, nil
 }
--- a/internal/frontdoor/discovery.go
+++ b/internal/frontdoor/discovery.go
@@ -17,182 +17,194 @@
 	"golang.org/x/time/rate"
 )
 
-// EndpointList is a whole list of backends, or changes to one, in the form that discovery sends.
+// EndpointList is a list of backends as discovery sends it: a full list, or the changes since an earlier version.
 type EndpointList struct {
-	Seq   int64      `json:"seq"`
-	Whole bool       `json:"whole"`
-	Hosts []Endpoint `json:"hosts"`
+	Version   int64      `json:"seq"`
+	Full      bool       `json:"whole"`
+	Endpoints []Endpoint `json:"hosts"`
 }
 
-// Endpoint is one backend of a list.
+// Endpoint is one backend in an EndpointList.
 type Endpoint struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMS int64   `json:"born_ms"`
+	Host      string  `json:"host"`
+	Address   string  `json:"dial"`
+	Zone      string  `json:"site"`
+	Kind      string  `json:"class"`
+	Cell      int     `json:"block"`
+	State     string  `json:"health"`
+	Weight    float64 `json:"share"`
+	StartedMS int64   `json:"born_ms"`
 }
 
-var states = map[string]gateway.BackendState{"Ready": gateway.Ready, "Terminating": gateway.Draining, "Gone": gateway.Gone}
+// backendStates maps the states of an Endpoint to the gateway's.
+var backendStates = map[string]gateway.BackendState{"Ready": gateway.Ready, "Terminating": gateway.Draining,
+	"Gone": gateway.Gone}
 
-// validEndpoints drops invalid entries. The log shows the first of them.
-func validEndpoints(hosts []Endpoint) []Endpoint {
-	var first Endpoint
-	skipped := 0
-	hosts = slices.DeleteFunc(hosts, func(e Endpoint) bool {
-		state, ok := states[e.Health]
-		bad := !ok || e.Host == "" || e.Dial == "" && state != gateway.Gone || e.BornMS < 0
-		if bad {
-			if skipped == 0 {
-				first = e
+// validEndpoints returns the valid entries of a list. It logs the number of invalid ones and the first of them.
+func validEndpoints(endpoints []Endpoint) []Endpoint {
+	var firstInvalid Endpoint
+	dropped := 0
+	endpoints = slices.DeleteFunc(endpoints, func(e Endpoint) bool {
+		state, ok := backendStates[e.State]
+		invalid := !ok || e.Host == "" || e.Address == "" && state != gateway.Gone || e.StartedMS < 0
+		if invalid {
+			if dropped == 0 {
+				firstInvalid = e
 			}
-			skipped++
+			dropped++
 		}
-		return bad
+		return invalid
 	})
-	if skipped > 0 {
-		slog.Warn("discovery: invalid entries", "dropped", skipped, "first", fmt.Sprintf("%.200q", fmt.Sprint(first)))
+	if dropped > 0 {
+		slog.Warn("discovery sent invalid entries, which are ignored", "count", dropped,
+			"first", fmt.Sprintf("%.200q", fmt.Sprint(firstInvalid)))
 	}
-	return hosts
+	return endpoints
 }
 
 const (
-	// stalenessBound is the protocol's bound on a list that could be requested: what discovery has counts as known to
-	// every instance after this time, whatever failed or was rejected meanwhile. A watch that falls silent, a second
-	// one that does so at once, the pauses after both and the next request take no longer.
+	// stalenessBound is the protocol's limit on the age of a list that a gateway could have requested: after this time
+	// every gateway is expected to know what discovery knows, even if requests failed or were rejected meanwhile. A
+	// watch that stops sending, a second watch that stops at once, the backoff after both and the next request fit
+	// into this time.
 	stalenessBound = 6 * time.Second
-	// A watch sends a heartbeat, an empty line, every 2 s. One that is silent for longer is dead. A needless request
-	// costs an agent nothing, but does cost a service.
+	// A watch sends a heartbeat, an empty line, every 2 s. One that sends nothing for the idle timeout is considered
+	// dead. The timeout for a service is longer, since an unnecessary request costs a service capacity but costs an
+	// agent nothing.
 	agentIdleTimeout   = 2500 * time.Millisecond
 	serviceIdleTimeout = 3 * time.Second
-	maxQueueWait       = 2 * time.Second // how long a service lets a request wait in its queue
-	listTimeout        = time.Second     // from the first byte of a list to its end: it is sent at once
+	maxQueueWait       = 2 * time.Second // the longest time for which a service queues a request
+	listTimeout        = time.Second     // from the first byte of a list to its last; lists are sent in one go
 )
 
-// Where the settings say that lists are pushed, an agent on the instance's own machine holds the list and responds at
-// once and at no cost to others. What the agent holds counts as known whether or not a watch is open, so an instance
-// that has just started, whose watch has just been reset, or whose agent was silent until a moment ago may send to a
-// draining backend for DrainGrace and no longer. So it requests at once, and a failed request and the pause behind it
-// together take less than DrainGrace.
+// Depending on the settings, gateways receive the list in one of two ways.
 //
-// Where the list must be requested, discovery is one service of fixed capacity for the whole fleet. A request costs it
-// some milliseconds, and more for each entry of its response; requests queue for up to maxQueueWait, and one that
-// would have to wait for longer is rejected at once, at no cost that was measured. So the service is used best by
-// requests at once and soon again: it stays busy while any instance is not served, which minimises the time until all
-// are. The service's load shows in its responses alone; the size of the fleet does not predict it, as mostly a few
-// instances send requests.
+// If lists are pushed, an agent on the gateway's own machine holds the list. It responds immediately, and requests to
+// it cost nobody else anything. The protocol expects a gateway to know what its agent holds whether or not a watch is
+// open. A gateway that has just started, whose watch has just been reset, or whose agent has just become responsive
+// again may therefore send to a draining backend for at most DrainGrace. So it requests the list immediately, and a
+// failed request and the backoff after it together take less than DrainGrace.
 //
-// Failures are followed by a pause with full jitter. The more an instance needs a list, the more often it requests
-// one. One without a list can serve nobody, and retries after retryBase while the service is overloaded. One whose
-// list is valid for a while yet leaves the service to those once it was rejected, and spreads its retry over that
-// while. One whose list is stale sends only to backends confirmed by recent responses, and waits longer. A service
-// that is down was seen to hold each request for maxQueueWait before rejecting it, which spreads them enough;
-// instances should return soon then, so no pause exceeds what leaves time for the queue within stalenessBound.
+// If the list must be requested, discovery is one service of fixed capacity for the whole fleet. Each request costs it
+// some milliseconds, plus some time for each entry of the response. It queues requests for up to maxQueueWait, and
+// immediately rejects a request that would have to wait longer; measurements found no cost of such rejections. Gateways
+// therefore request immediately and retry soon: this keeps the service busy while any gateway is without its list,
+// which minimises the time until all gateways have one. Only the service's responses show its load. The size of the
+// fleet doesn't predict it, since usually only a few gateways send requests at the same time.
+//
+// After a failure a gateway backs off with full jitter, and by less the more urgently it needs a list:
+//   - A gateway without a list can't serve anyone. It retries within baseBackoff while the service is overloaded.
+//   - A gateway whose list remains valid for some time leaves an overloaded service to the others, and spreads its
+//     retry over that time.
+//   - A gateway whose list is stale sends only to backends confirmed by recent responses, and backs off for longer.
+//
+// A service that is down holds each request for maxQueueWait before rejecting it, which spreads requests enough.
+// Gateways should retry soon in this case, so each backoff leaves time for the queue within stalenessBound.
 const (
-	retryBase    = 200 * time.Millisecond // the longest pause after a first failure; doubled by each further one
-	retryMaxNew  = 400 * time.Millisecond // ... up to this for a process that has had no list
-	retryMax     = 2 * time.Second        // ... or to this: with maxQueueWait, well within stalenessBound
-	retryMaxBusy = 3 * time.Second        // the longest pause after a rejection for a process whose list is stale by then
-	fastRefusal  = 500 * time.Millisecond // a rejection that took longer is not that of an overloaded service
-	failedFactor = 4                      // the protocol multiplies the staleness bound by this after a failed request
+	baseBackoff           = 200 * time.Millisecond // after the first failure; doubles with each further one
+	maxBackoffWithoutList = 400 * time.Millisecond // for a process that has received no list
+	maxBackoff            = 2 * time.Second        // for one that has; with maxQueueWait well within stalenessBound
+	maxBackoffOverloaded  = 3 * time.Second        // while the service is overloaded and the list is stale
+	fastRejectionTime     = 500 * time.Millisecond // an overloaded service rejects requests in less time than this
+	failedRequestFactor   = 4                      // the protocol multiplies StaleAfter by this after a failed request
 
-	agentTimeoutFraction = 1.0 / 2 // of DrainGrace: an agent's response time-out
-	agentPauseFraction   = 1.0 / 4 // of DrainGrace: the longest pause after a failed request to an agent
+	agentTimeoutFraction = 1.0 / 2 // response timeout of an agent, as a fraction of DrainGrace
+	agentBackoffFraction = 1.0 / 4 // longest backoff after a failed request to an agent, as a fraction of DrainGrace
 )
 
-// fromFullList, as a version to start from, makes the follower request the whole list first.
-const fromFullList = -1
+// noVersion is the version of a watcher that must request the full list before it watches for changes.
+const noVersion = -1
 
-// Follow watches the configuration's discovery until ctx ends, starting at the version of the known list; each address
-// received from moves replaces the one before. Another discovery may number its versions differently, so after a move
-// the whole list is requested first. A heartbeat of a watch is passed to update as a list of no changes.
-func Follow(ctx context.Context, config Config, moves <-chan string, update func(EndpointList)) {
+// WatchDiscovery watches the configuration's discovery until ctx ends, starting at the version of the saved list. Each
+// address received from addresses replaces the previous one. Another discovery may number its versions differently, so
+// after a change of address the full list is requested first. update receives each list, and an empty list of changes
+// for each heartbeat.
+func WatchDiscovery(ctx context.Context, config Config, addresses <-chan string, update func(EndpointList)) {
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: time.Second}).DialContext,
 		DisableKeepAlives: true, DisableCompression: true}
-	followOver(ctx, transport, config, moves, update)
+	watchDiscoveryOver(ctx, transport, config, addresses, update)
 }
 
-// followOver is Follow over a given transport.
-func followOver(ctx context.Context, rt http.RoundTripper, config Config, moves <-chan string,
+// watchDiscoveryOver is WatchDiscovery with a given transport.
+func watchDiscoveryOver(ctx context.Context, transport http.RoundTripper, config Config, addresses <-chan string,
 	update func(EndpointList)) {
-	f := newFollower(rt, newRetryPolicy(config), config.Discovery, config.Known.Seq, update)
+	w := newWatcher(transport, newRetryPolicy(config), config.Discovery, config.SavedList.Version, update)
 	for {
-		watching, stop := context.WithCancel(ctx)
+		watchCtx, stop := context.WithCancel(ctx)
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			f.keepWatching(watching)
+			w.keepWatching(watchCtx)
 		}()
 		addr := ""
 		select {
-		case addr = <-moves:
+		case addr = <-addresses:
 		case <-ctx.Done():
 		}
 		stop()
-		<-ended // no update of the old one may follow the new one's list
+		<-ended // an update from the old address must not follow the new one's list
 		if ctx.Err() != nil {
 			return
 		}
-		f.addr, f.version = addr, fromFullList
+		w.addr, w.version = addr, noVersion
 	}
 }
 
-// follower watches one discovery at a time.
-type follower struct {
+// watcher watches discovery at one address at a time.
+type watcher struct {
 	transport     http.RoundTripper
 	policy        retryPolicy
 	addr          string
-	version       int64              // the version of the list that is held
+	version       int64              // version of the current list, or noVersion
 	update        func(EndpointList) // receives lists and changes; an empty list of changes confirms the current list
-	lastConfirmed time.Time          // when discovery last confirmed the list; zero: not yet
+	lastConfirmed time.Time          // when discovery last sent or confirmed a list; zero: not yet
 }
 
-func newFollower(rt http.RoundTripper, policy retryPolicy, addr string, from int64, update func(EndpointList)) *follower {
-	f := &follower{transport: rt, policy: policy, addr: addr, version: from}
-	f.update = func(list EndpointList) {
-		f.lastConfirmed = time.Now()
+func newWatcher(transport http.RoundTripper, policy retryPolicy, addr string, version int64,
+	update func(EndpointList)) *watcher {
+	w := &watcher{transport: transport, policy: policy, addr: addr, version: version}
+	w.update = func(list EndpointList) {
+		w.lastConfirmed = time.Now()
 		update(list)
 	}
-	return f
+	return w
 }
 
 // keepWatching opens one watch after another until ctx ends.
-func (f *follower) keepWatching(ctx context.Context) {
-	sometimes := rate.Sometimes{First: 3, Interval: 5 * time.Second}
+func (w *watcher) keepWatching(ctx context.Context) {
+	logLimit := rate.Sometimes{First: 3, Interval: 5 * time.Second}
 	failures := 0
 	for ctx.Err() == nil {
-		confirmedBefore := f.lastConfirmed
-		err := f.fetchAndWatch(ctx)
+		previousConfirmation := w.lastConfirmed
+		err := w.fetchAndWatch(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if f.lastConfirmed != confirmedBefore {
+		if w.lastConfirmed != previousConfirmation {
 			failures = 0
 		}
 		failures++
-		pause := f.policy.pause(failure{err: err, consecutive: failures, hasList: !f.lastConfirmed.IsZero(),
-			slack: time.Until(f.lastConfirmed.Add(stalenessBound - maxQueueWait))})
-		sometimes.Do(func() {
-			slog.Warn("discovery: the watch ended", "addr", f.addr, "from", f.version, "err", err, "retry", pause)
+		backoff := w.policy.backoff(failure{err: err, consecutive: failures, hasList: !w.lastConfirmed.IsZero(),
+			slack: time.Until(w.lastConfirmed.Add(stalenessBound - maxQueueWait))})
+		logLimit.Do(func() {
+			slog.Warn("the discovery request or watch failed and will be retried", "addr", w.addr, "version", w.version,
+				"err", err, "retry_in", backoff)
 		})
-		sleep(ctx, pause)
+		sleep(ctx, backoff)
 	}
 }
 
-// fetchAndWatch requests the whole list, if the version says so, and then the changes for as long as the watch lasts.
-func (f *follower) fetchAndWatch(ctx context.Context) error {
-	if f.version == fromFullList {
-		if err := f.fetch(ctx); err != nil {
+// fetchAndWatch requests the full list if no version is known, and then watches for changes until the watch ends.
+func (w *watcher) fetchAndWatch(ctx context.Context) error {
+	if w.version == noVersion {
+		if err := w.fetch(ctx); err != nil {
 			return err
 		}
 	}
-	return f.watch(ctx)
+	return w.watch(ctx)
 }
 
-// sleep waits for d or the end of ctx, and reports whether ctx is still alive.
+// sleep waits for d or until ctx ends, and reports whether ctx is still active.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -207,56 +219,60 @@
 }
 
 var (
-	errStreamIdle       = errors.New("nothing was received for too long")
-	errNotFullList      = errors.New("the response is no whole list")
-	errVersionRegressed = errors.New("the versions have gone back")
+	errStreamTimeout    = errors.New("timeout: discovery sent no data, or an incomplete list")
+	errNotFullList      = errors.New("discovery answered the request for the full list with a list of changes")
+	errVersionRegressed = errors.New("discovery sent an older version than before; it has probably restarted")
 )
 
-// statusError is a response of discovery other than 200 OK.
+// statusError reports a response of discovery with a status other than 200 OK.
 type statusError struct {
-	status string
-	took   time.Duration // from the request to the response
+	status  string
+	elapsed time.Duration // from the request to the response
 }
 
-func (e *statusError) Error() string { return fmt.Sprintf("answered %s after %v", e.status, e.took) }
+func (e *statusError) Error() string {
+	return fmt.Sprintf("discovery responded with status %q after %v", e.status, e.elapsed)
+}
 
-// openResponse sends a request to discovery and returns its response. Another status than 200 is a *statusError.
-func openResponse(ctx context.Context, rt http.RoundTripper, url string) (*http.Response, error) {
+// openResponse sends a request to discovery and returns the response. If its status is not 200, the error is a
+// *statusError.
+func openResponse(ctx context.Context, transport http.RoundTripper, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
 	sent := time.Now()
-	res, err := rt.RoundTrip(req)
+	res, err := transport.RoundTrip(req)
 	if err != nil {
 		return nil, err
 	}
 	if res.StatusCode != http.StatusOK {
 		res.Body.Close()
-		return nil, &statusError{status: res.Status, took: time.Since(sent)}
+		return nil, &statusError{status: res.Status, elapsed: time.Since(sent)}
 	}
 	return res, nil
 }
 
 // streamReader reads a streamed response of discovery. The stream ends when nothing is received for idleTimeout, or
-// when a list that has begun is not complete within listTimeout: a list sent in drips would otherwise delay all
-// that follows.
+// when a list that has begun is not complete within listTimeout: a list that arrives byte by byte would otherwise
+// delay all later ones.
 type streamReader struct {
 	io.Reader
 	idleTimeout time.Duration
 	timer       *time.Timer
-	inList      bool   // a list has begun and not ended
-	onHeartbeat func() // called for a heartbeat, between two lists; nil: before the first one
+	inList      bool   // a list has begun and is not complete
+	onHeartbeat func() // called for each heartbeat between two lists; nil before the first list
 	close       func()
 }
 
-// openStream sends a request whose response must begin within firstTimeout and then send something at least once every
-// idleTimeout. The caller must call the stream's close.
-func openStream(ctx context.Context, rt http.RoundTripper, url string,
+// openStream sends a request and returns its response as a stream. The response must begin within firstTimeout and then
+// send data at least once every idleTimeout. The caller must call the stream's close.
+func openStream(ctx context.Context, transport http.RoundTripper, url string,
 	firstTimeout, idleTimeout time.Duration) (*streamReader, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	stream := &streamReader{idleTimeout: idleTimeout, timer: time.AfterFunc(firstTimeout, func() { cancel(errStreamIdle) })}
-	res, err := openResponse(ctx, rt, url)
+	stream := &streamReader{idleTimeout: idleTimeout,
+		timer: time.AfterFunc(firstTimeout, func() { cancel(errStreamTimeout) })}
+	res, err := openResponse(ctx, transport, url)
 	if err != nil {
 		stream.timer.Stop()
 		cancel(nil)
@@ -272,73 +288,76 @@
 	return stream, nil
 }
 
-func (h *streamReader) Read(p []byte) (int, error) {
-	n, err := h.Reader.Read(p)
+func (s *streamReader) Read(p []byte) (int, error) {
+	n, err := s.Reader.Read(p)
 	switch {
-	case n == 0 || h.inList:
+	case n == 0 || s.inList:
 	case len(bytes.TrimSpace(p[:n])) == 0:
-		h.timer.Reset(h.idleTimeout)
-		if h.onHeartbeat != nil {
-			h.onHeartbeat()
+		s.timer.Reset(s.idleTimeout)
+		if s.onHeartbeat != nil {
+			s.onHeartbeat()
 		}
 	default:
-		h.inList = true
-		h.timer.Reset(listTimeout)
+		s.inList = true
+		s.timer.Reset(listTimeout)
 	}
 	return n, err
 }
 
-// listComplete marks the end of a list: from here on heartbeats are expected.
-func (h *streamReader) listComplete() {
-	h.inList = false
-	h.timer.Reset(h.idleTimeout)
+// listComplete marks the end of a list: from now on heartbeats are expected.
+func (s *streamReader) listComplete() {
+	s.inList = false
+	s.timer.Reset(s.idleTimeout)
 }
 
-// fetch requests the whole list.
-func (f *follower) fetch(ctx context.Context) error {
-	url := fmt.Sprintf("http://%s/v1/endpoints", f.addr)
-	answer, err := openStream(ctx, f.transport, url, f.policy.responseTimeout(), f.policy.idleTimeout())
+// fetch requests the full list.
+func (w *watcher) fetch(ctx context.Context) error {
+	url := fmt.Sprintf("http://%s/v1/endpoints", w.addr)
+	stream, err := openStream(ctx, w.transport, url, w.policy.responseTimeout(), w.policy.idleTimeout())
 	if err != nil {
 		return err
 	}
-	defer answer.close()
-	list, err := newListReader(answer).next()
+	defer stream.close()
+	list, err := newListReader(stream).next()
 	if err != nil {
 		return err
 	}
-	if !list.Whole {
+	if !list.Full {
 		return errNotFullList
 	}
-	slog.Info("discovery: the whole list", "addr", f.addr, "seq", list.Seq, "hosts", len(list.Hosts))
-	f.update(list)
-	f.version = list.Seq
+	slog.Info("received the full list from discovery", "addr", w.addr, "version", list.Version,
+		"endpoints", len(list.Endpoints))
+	w.update(list)
+	w.version = list.Version
 	return nil
 }
 
-// watch reads changes from one connection for as long as it sends something in time. A line that cannot be parsed
-// ends it, and the next watch requests the same changes again: skipping the line could lose the news that a backend
-// drains. A heartbeat confirms the list only once the watch has sent what had changed before it.
-func (f *follower) watch(ctx context.Context) error {
-	url := fmt.Sprintf("http://%s/v1/endpoints?watch=1&from=%d", f.addr, f.version)
-	answer, err := openStream(ctx, f.transport, url, f.policy.responseTimeout(), f.policy.idleTimeout())
+// watch reads changes from one connection until the connection fails or times out. A list that can't be parsed also
+// ends the watch, and the next watch requests the same changes again: skipping the list could lose the change of a
+// backend to draining. Heartbeats confirm the list only after the watch has sent its first list, which has what changed
+// before the watch began.
+func (w *watcher) watch(ctx context.Context) error {
+	url := fmt.Sprintf("http://%s/v1/endpoints?watch=1&from=%d", w.addr, w.version)
+	stream, err := openStream(ctx, w.transport, url, w.policy.responseTimeout(), w.policy.idleTimeout())
 	if err != nil {
 		return err
 	}
-	defer answer.close()
-	lists := newListReader(answer)
+	defer stream.close()
+	lists := newListReader(stream)
 	for {
 		list, err := lists.next()
 		if err != nil {
 			return err
 		}
-		answer.listComplete()
-		if !list.Whole && list.Seq < f.version { // discovery has restarted: changes before that are unknown here
-			f.version = fromFullList
+		stream.listComplete()
+		if !list.Full && list.Version < w.version { // discovery has restarted, and changes may be missing here
+			w.version = noVersion
 			return errVersionRegressed
 		}
-		slog.Info("discovery", "seq", list.Seq, "whole", list.Whole, "hosts", len(list.Hosts))
-		f.update(list)
-		f.version = list.Seq
-		answer.onHeartbeat = func() { f.update(EndpointList{Seq: f.version}) }
+		slog.Info("received a list from discovery", "version", list.Version, "full", list.Full,
+			"endpoints", len(list.Endpoints))
+		w.update(list)
+		w.version = list.Version
+		stream.onHeartbeat = func() { w.update(EndpointList{Version: w.version}) }
 	}
 }
--- a/internal/frontdoor/discovery_test.go
+++ b/internal/frontdoor/discovery_test.go
@@ -16,7 +16,7 @@
 )
 
 // prompt is the retry policy for an agent that may take long over a request.
-var prompt = retryPolicy{grace: time.Duration(float64(patient) / agentTimeoutFraction)}
+var prompt = retryPolicy{drainGrace: time.Duration(float64(patient) / agentTimeoutFraction)}
 
 const entry = `{"host":"s-1","dial":"127.0.0.1:%d","site":"a","class":"m2","block":3,"health":"%s","share":1.0,"born_ms":0}`
 
@@ -40,7 +40,7 @@
 		}
 	})
 	lists := make(chan EndpointList, 10)
-	f := newFollower(&http.Transport{}, prompt, addr, 41, func(l EndpointList) { lists <- l })
+	f := newWatcher(&http.Transport{}, prompt, addr, 41, func(l EndpointList) { lists <- l })
 	for want, wantSeq := range []int64{42, 42, 43} {
 		ctx, cancel := context.WithTimeout(t.Context(), patient)
 		err := f.watch(ctx)
@@ -54,7 +54,7 @@
 			t.Errorf("watch %d requested %q, want %q", i+1, got, want)
 		}
 	}
-	if a, b := <-lists, <-lists; !a.Whole || a.Hosts[0].Block != 3 || b.Hosts[0].Health != "Terminating" {
+	if a, b := <-lists, <-lists; !a.Full || a.Endpoints[0].Cell != 3 || b.Endpoints[0].State != "Terminating" {
 		t.Errorf("received %+v and %+v", a, b)
 	}
 }
@@ -69,7 +69,7 @@
 		}
 		fmt.Fprintln(w, `{"seq":50,"whole":true,"hosts":[]}`)
 	})
-	f := newFollower(&http.Transport{}, prompt, addr, 1, func(EndpointList) {})
+	f := newWatcher(&http.Transport{}, prompt, addr, 1, func(EndpointList) {})
 	if err := f.watch(t.Context()); f.version != 50 {
 		t.Errorf("ended with %v at version %d", err, f.version)
 	}
@@ -82,10 +82,10 @@
 	k := clock{time.Now()}
 	l := newLoop(k, g, b)
 	e := func(host, dial, health string, born int64) Endpoint {
-		return Endpoint{Host: host, Dial: dial, Health: health, BornMS: born}
+		return Endpoint{Host: host, Address: dial, State: health, StartedMS: born}
 	}
 	hourAgo := k.start.Add(-time.Hour).UnixMilli()
-	l.Update(EndpointList{Whole: true, Hosts: []Endpoint{e("s-1", "127.0.0.1:7", "Ready", 0),
+	l.Update(EndpointList{Full: true, Endpoints: []Endpoint{e("s-1", "127.0.0.1:7", "Ready", 0),
 		e("", "127.0.0.1:7", "Ready", 0), e("s-3", "127.0.0.1:7", "Unwell", 0), e("s-4", "", "Ready", 0),
 		e("s-2", "127.0.0.1:8", "Ready", hourAgo), e("s-5", "127.0.0.1:9", "Ready", 1)}})
 	first := next[gateway.BackendList](t, g)
@@ -98,18 +98,18 @@
 	if a, b := first.Backends[0].Started, first.Backends[2].Started; a != 0 || b != 0 {
 		t.Errorf("starts long ago are at %v and %v", a, b)
 	}
-	l.Update(EndpointList{Hosts: []Endpoint{e("s-1", "127.0.0.1:17", "Gone", 0)}})
-	l.Update(EndpointList{Hosts: []Endpoint{e("s-1", "127.0.0.1:27", "Ready", 0)}})
+	l.Update(EndpointList{Endpoints: []Endpoint{e("s-1", "127.0.0.1:17", "Gone", 0)}})
+	l.Update(EndpointList{Endpoints: []Endpoint{e("s-1", "127.0.0.1:27", "Ready", 0)}})
 	if gone, back := next[gateway.BackendList](t, g), next[gateway.BackendList](t, g); gone.Kind != gateway.ListChanges ||
 		gone.Backends[0].State != gateway.Gone || back.Backends[0].ID == first.Backends[0].ID {
 		t.Errorf("%+v, then %+v", gone, back)
 	}
 	two := first.Backends[1].ID
-	l.Update(EndpointList{Hosts: []Endpoint{e("s-2", "127.0.0.1:28", "Ready", hourAgo)}})
+	l.Update(EndpointList{Endpoints: []Endpoint{e("s-2", "127.0.0.1:28", "Ready", hourAgo)}})
 	if again := next[gateway.BackendList](t, g); again.Backends[0].ID != two || b.readyEndpoint(two) == nil || b.readyEndpoint(two).addr != "127.0.0.1:28" {
 		t.Errorf("moved: %+v, ready at %+v", again, b.readyEndpoint(two))
 	}
-	l.Update(EndpointList{Whole: true}) // what a whole list lacks is gone
+	l.Update(EndpointList{Full: true}) // what a whole list lacks is gone
 	if b.readyEndpoint(two) != nil {
 		t.Error("a backend that the whole list lacks may still be sent to")
 	}
@@ -140,14 +140,14 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() {
-		c := Config{Discovery: first, Known: EndpointList{Seq: 800}}
-		Follow(ctx, c, moves, func(l EndpointList) { lists <- l })
+		c := Config{Discovery: first, SavedList: EndpointList{Version: 800}}
+		WatchDiscovery(ctx, c, moves, func(l EndpointList) { lists <- l })
 		close(ended)
 	}()
 	if got := <-requestedFirst; got != "/v1/endpoints?watch=1&from=800" {
 		t.Errorf("the first received a request for %s", got)
 	}
-	if l := <-lists; l.Seq != 900 {
+	if l := <-lists; l.Version != 900 {
 		t.Errorf("the first sent %+v", l)
 	}
 	moves <- second
@@ -156,7 +156,7 @@
 			t.Errorf("question %d to the second was %s, want %s", i+1, got, want)
 		}
 	}
-	if l := <-lists; l.Seq != 7 || !l.Whole {
+	if l := <-lists; l.Version != 7 || !l.Full {
 		t.Errorf("the second sent %+v", l)
 	}
 	cancel()
@@ -291,7 +291,7 @@
 				moves := make(chan string)
 				ended := make(chan bool)
 				go func() {
-					followOver(ctx, s, c.config, moves, func(l EndpointList) { known <- l.Seq })
+					watchDiscoveryOver(ctx, s, c.config, moves, func(l EndpointList) { known <- l.Version })
 					close(ended)
 				}()
 				if c.steps[0] == goesQuiet {
@@ -317,22 +317,22 @@
 
 // The longest lists that the pages allow pass, whole and as changes, also indented.
 func TestListsOfAThousandBackendsPass(t *testing.T) {
-	list := EndpointList{Seq: 9, Whole: true}
+	list := EndpointList{Version: 9, Full: true}
 	for i := range 1024 {
-		list.Hosts = append(list.Hosts, Endpoint{Host: fmt.Sprintf("s-%060x", i), Dial: fmt.Sprintf("127.0.%d.%d:8443", i/250, i%250),
-			Site: strings.Repeat("zone", 10), Class: strings.Repeat("kind", 10), Health: "Ready", Share: 1, BornMS: 1790000000000})
+		list.Endpoints = append(list.Endpoints, Endpoint{Host: fmt.Sprintf("s-%060x", i), Address: fmt.Sprintf("127.0.%d.%d:8443", i/250, i%250),
+			Zone: strings.Repeat("zone", 10), Kind: strings.Repeat("kind", 10), State: "Ready", Weight: 1, StartedMS: 1790000000000})
 	}
 	text, err := json.MarshalIndent(list, "", strings.Repeat(" ", 16))
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.Write(text) })
-	for how, take := range map[string]func(*follower, context.Context) error{
-		"whole":   (*follower).fetch,
-		"watched": (*follower).watch,
+	for how, take := range map[string]func(*watcher, context.Context) error{
+		"whole":   (*watcher).fetch,
+		"watched": (*watcher).watch,
 	} {
 		hosts := 0
-		f := newFollower(&http.Transport{}, prompt, addr, 0, func(l EndpointList) { hosts = len(validEndpoints(l.Hosts)) })
+		f := newWatcher(&http.Transport{}, prompt, addr, 0, func(l EndpointList) { hosts = len(validEndpoints(l.Endpoints)) })
 		err := take(f, t.Context())
 		if hosts != 1024 || f.version != 9 {
 			t.Errorf("%s: %d hosts of version %d, %v", how, hosts, f.version, err)
@@ -362,7 +362,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() {
-		Follow(ctx, Config{Discovery: silent("first")}, moves, func(l EndpointList) { lists <- l })
+		WatchDiscovery(ctx, Config{Discovery: silent("first")}, moves, func(l EndpointList) { lists <- l })
 		close(ended)
 	}()
 	if got := <-requested; got != "first" {
@@ -372,7 +372,7 @@
 	for got := "first"; got == "first"; got = <-requested { // it may have been asked again before the move
 	}
 	moves <- last
-	if l := <-lists; l.Seq != 5 || !l.Whole || len(l.Hosts) != 1 || l.Hosts[0].Health != "Terminating" {
+	if l := <-lists; l.Version != 5 || !l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].State != "Terminating" {
 		t.Errorf("the last sent %+v", l)
 	}
 	cancel()
--- a/internal/frontdoor/fleet_discovery_test.go
+++ b/internal/frontdoor/fleet_discovery_test.go
@@ -116,7 +116,7 @@
 func follow(d http.RoundTripper) *followed {
 	config := Config{Discovery: "discovery", Settings: gateway.Settings{Gateways: 300, DrainGrace: 400 * time.Millisecond,
 		AskForList: true}}
-	config.Conns.StaleAfter = 10 * time.Second
+	config.Connections.StaleAfter = 10 * time.Second
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	f := &followed{started: time.Now(), moves: make(chan string)}
@@ -126,7 +126,7 @@
 	}
 	go func() {
 		defer close(ended)
-		followOver(ctx, d, config, f.moves, func(EndpointList) {
+		watchDiscoveryOver(ctx, d, config, f.moves, func(EndpointList) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.last = time.Now()
@@ -308,7 +308,7 @@
 		time.Sleep(8 * time.Second)
 		d.start()
 		start := time.Now()
-		time.Sleep(300*each + retryMax + maxQueueWait)
+		time.Sleep(300*each + maxBackoff + maxQueueWait)
 		late(t, fleet, start, "down for 8 s")
 		endAll(fleet)
 	})
@@ -324,13 +324,13 @@
 		}
 	})
 	var received []EndpointList
-	f := newFollower(&http.Transport{}, prompt, addr, 5, func(l EndpointList) { received = append(received, l) })
+	f := newWatcher(&http.Transport{}, prompt, addr, 5, func(l EndpointList) { received = append(received, l) })
 	err := f.watch(t.Context())
 	if len(received) != 3 {
 		t.Fatalf("received %+v, ended with %v", received, err)
 	}
 	for _, l := range received {
-		if l.Seq != 7 || l.Whole || len(l.Hosts) != 0 {
+		if l.Version != 7 || l.Full || len(l.Endpoints) != 0 {
 			t.Errorf("received %+v", l)
 		}
 	}
--- a/internal/frontdoor/frontdoor_test.go
+++ b/internal/frontdoor/frontdoor_test.go
@@ -42,9 +42,9 @@
 }
 
 func ready(addrs ...string) EndpointList {
-	list := EndpointList{Seq: 42, Whole: true}
+	list := EndpointList{Version: 42, Full: true}
 	for i, addr := range addrs {
-		list.Hosts = append(list.Hosts, Endpoint{Host: fmt.Sprintf("s-%d", i), Dial: addr, Health: "Ready", Share: 1})
+		list.Endpoints = append(list.Endpoints, Endpoint{Host: fmt.Sprintf("s-%d", i), Address: addr, State: "Ready", Weight: 1})
 	}
 	return list
 }
--- a/internal/frontdoor/fuzz_test.go
+++ b/internal/frontdoor/fuzz_test.go
@@ -105,7 +105,7 @@
 			t.Fatal(err)
 		}
 		l.Update(list)
-		l.Update(EndpointList{Whole: true})
+		l.Update(EndpointList{Full: true})
 		if n := len(l.backends.byHost); n != 0 {
 			t.Errorf("%d backends are left after an empty list", n)
 		}
@@ -133,7 +133,7 @@
 		body := io.MultiReader(strings.NewReader(`{"seq":1,"whole":true,"hosts":["`), repeat("x"))
 		return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(body)}, nil
 	})
-	f := newFollower(endless, prompt, "agent", 1, func(EndpointList) { t.Error("an endless list was taken") })
+	f := newWatcher(endless, prompt, "agent", 1, func(EndpointList) { t.Error("an endless list was taken") })
 	if err := f.fetch(t.Context()); !errors.Is(err, errTooLarge) {
 		t.Errorf("the endless list ended with %v", err)
 	}
--- a/internal/frontdoor/lease_test.go
+++ b/internal/frontdoor/lease_test.go
@@ -18,7 +18,7 @@
 		t.Error("not ready where lists are pushed")
 	}
 	c.Settings.AskForList = true
-	c.Known = ready("127.0.0.1:7")
+	c.SavedList = ready("127.0.0.1:7")
 	loop := mustLoop(t, c)
 	clients := NewClients(c, loop)
 	if clients.ready() {
@@ -70,7 +70,7 @@
 	}
 	c.Settings.AskForList = true
 	for _, connect := range []time.Duration{50 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second} {
-		c.Conns.Connect = connect
+		c.Connections.Connect = connect
 		if lease := listLease(c); lease+connect >= stalenessBound || lease < stalenessBound/2 {
 			t.Errorf("a lease of %v with connections that take up to %v", lease, connect)
 		}
--- a/internal/frontdoor/lists.go
+++ b/internal/frontdoor/lists.go
@@ -9,48 +9,48 @@
 	"strings"
 )
 
-// Bounds on discovery's responses. A list is bounded by the number and the length of its entries, so that the longest
-// planned list passes, and an endless list or entry does not exhaust the memory.
+// Limits on discovery's responses. A list is limited by the number and the size of its entries, so that the longest
+// planned list is accepted, but an endless list or entry doesn't exhaust the memory.
 const (
-	maxListBytes   = 4 << 20  // bytes of a list besides its entries, empty lines before it among them
-	maxEntryBytes  = 64 << 10 // bytes of one entry, with what is read ahead behind it
-	maxHosts       = 150_000  // entries of one list: three times the fleet that is planned for
-	listBufferSize = 16 << 10 // bytes read at once
+	maxListBytes   = 4 << 20  // bytes of a list outside its entries, including empty lines before it
+	maxEntryBytes  = 64 << 10 // bytes of one entry, including what is read ahead after it
+	maxEndpoints   = 150_000  // entries of one list; three times as many as planned for
+	listBufferSize = 16 << 10 // bytes
 )
 
 var (
-	errTooManyHosts = errors.New("the list has more entries than lists may have")
-	errNoObject     = errors.New("a list is no JSON object")
-	errNoHosts      = errors.New("a list's hosts are no array")
+	errTooManyEndpoints  = errors.New("the list has more entries than allowed")
+	errListNotObject     = errors.New("the list is not a JSON object")
+	errEndpointsNotArray = errors.New(`the list's field "hosts" is not an array`)
 )
 
-// listReader reads consecutive lists, entry by entry: besides the entries read it holds a buffer, never the text of
-// a whole list.
+// listReader reads consecutive lists, one entry at a time. Apart from the parsed entries it holds only a buffer, never
+// the text of a full list.
 type listReader struct {
-	body    *limitedReader
+	limited *limitedReader
 	decoder *json.Decoder
 }
 
-func newListReader(answer io.Reader) *listReader {
-	body := &limitedReader{r: bufio.NewReaderSize(answer, listBufferSize)}
-	return &listReader{body: body, decoder: json.NewDecoder(body)}
+func newListReader(response io.Reader) *listReader {
+	limited := &limitedReader{r: bufio.NewReaderSize(response, listBufferSize)}
+	return &listReader{limited: limited, decoder: json.NewDecoder(limited)}
 }
 
-// next reads one list. On an error, which names the entry, nothing of the list is returned.
+// next reads one list. If it returns an error, the list is empty. An error in an entry names the entry.
 func (l *listReader) next() (EndpointList, error) {
-	l.body.remaining = maxListBytes
+	l.limited.remaining = maxListBytes
 	list := EndpointList{}
-	if start, err := l.decoder.Token(); err != nil {
+	if token, err := l.decoder.Token(); err != nil {
 		return EndpointList{}, err
-	} else if start != json.Delim('{') {
-		return EndpointList{}, errNoObject
+	} else if token != json.Delim('{') {
+		return EndpointList{}, errListNotObject
 	}
 	for l.decoder.More() {
 		name, err := l.decoder.Token()
 		if err != nil {
 			return EndpointList{}, err
 		}
-		if err := l.field(&list, name.(string)); err != nil { // More and Token guarantee that this is a name
+		if err := l.readField(&list, name.(string)); err != nil { // More and Token guarantee that this is a string
 			return EndpointList{}, err
 		}
 	}
@@ -60,44 +60,44 @@
 	return list, nil
 }
 
-// field reads the value of one of a list's fields. Names are matched as encoding/json matches them.
-func (l *listReader) field(list *EndpointList, name string) error {
+// readField reads the value of one field of a list. Like encoding/json, it ignores the case of field names.
+func (l *listReader) readField(list *EndpointList, name string) error {
 	switch {
 	case strings.EqualFold(name, "seq"):
-		return l.decoder.Decode(&list.Seq)
+		return l.decoder.Decode(&list.Version)
 	case strings.EqualFold(name, "whole"):
-		return l.decoder.Decode(&list.Whole)
+		return l.decoder.Decode(&list.Full)
 	case strings.EqualFold(name, "hosts"):
-		hosts, err := l.hosts()
-		list.Hosts = hosts
+		endpoints, err := l.readEndpoints()
+		list.Endpoints = endpoints
 		return err
 	}
 	var unknown json.RawMessage
 	return l.decoder.Decode(&unknown)
 }
 
-// hosts reads the entries of a list.
-func (l *listReader) hosts() ([]Endpoint, error) {
-	start, err := l.decoder.Token()
-	if err != nil || start == nil { // null: no entries
+// readEndpoints reads the entries of a list.
+func (l *listReader) readEndpoints() ([]Endpoint, error) {
+	token, err := l.decoder.Token()
+	if err != nil || token == nil { // null: no entries
 		return nil, err
 	}
-	if start != json.Delim('[') {
-		return nil, errNoHosts
+	if token != json.Delim('[') {
+		return nil, errEndpointsNotArray
 	}
-	var hosts []Endpoint
+	var endpoints []Endpoint
 	for l.decoder.More() {
-		if len(hosts) == maxHosts {
-			return nil, fmt.Errorf("entry %d: %w", len(hosts)+1, errTooManyHosts)
+		if len(endpoints) == maxEndpoints {
+			return nil, fmt.Errorf("entry %d: %w", len(endpoints)+1, errTooManyEndpoints)
 		}
-		l.body.remaining = maxEntryBytes
-		var host Endpoint
-		if err := l.decoder.Decode(&host); err != nil {
-			return nil, fmt.Errorf("entry %d, %.60q: %w", len(hosts)+1, host.Host, err)
+		l.limited.remaining = maxEntryBytes
+		var endpoint Endpoint
+		if err := l.decoder.Decode(&endpoint); err != nil {
+			return nil, fmt.Errorf("entry %d, %.60q: %w", len(endpoints)+1, endpoint.Host, err)
 		}
-		hosts = append(hosts, host)
+		endpoints = append(endpoints, endpoint)
 	}
-	l.body.remaining = maxListBytes
+	l.limited.remaining = maxListBytes
 	_, err = l.decoder.Token()
-	return hosts, err
+	return endpoints, err
 }
--- a/internal/frontdoor/lists_test.go
+++ b/internal/frontdoor/lists_test.go
@@ -17,10 +17,10 @@
 // plannedList is a list of as many backends as are planned for, as discovery writes it.
 func plannedList(t *testing.T, count int) string {
 	t.Helper()
-	list := EndpointList{Seq: 9, Whole: true}
+	list := EndpointList{Version: 9, Full: true}
 	for i := range count {
-		list.Hosts = append(list.Hosts, Endpoint{Host: fmt.Sprintf("s-%08x", i), Dial: fmt.Sprintf("10.1.%d.%d:8443", i/250, i%250),
-			Site: fmt.Sprintf("zone-%d", i%24), Class: "std-2core", Block: i, Health: "Ready", Share: 1})
+		list.Endpoints = append(list.Endpoints, Endpoint{Host: fmt.Sprintf("s-%08x", i), Address: fmt.Sprintf("10.1.%d.%d:8443", i/250, i%250),
+			Zone: fmt.Sprintf("zone-%d", i%24), Kind: "std-2core", Cell: i, State: "Ready", Weight: 1})
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
@@ -38,8 +38,8 @@
 		runtime.ReadMemStats(&before)
 		list, err := newListReader(strings.NewReader(text)).next()
 		runtime.ReadMemStats(&after)
-		if err != nil || len(list.Hosts) != count || list.Seq != 9 || !list.Whole || list.Hosts[count-1].Block != count-1 {
-			t.Fatalf("%d entries: %d read, %v", count, len(list.Hosts), err)
+		if err != nil || len(list.Endpoints) != count || list.Version != 9 || !list.Full || list.Endpoints[count-1].Cell != count-1 {
+			t.Fatalf("%d entries: %d read, %v", count, len(list.Endpoints), err)
 		}
 		return float64(after.TotalAlloc - before.TotalAlloc)
 	}
@@ -61,8 +61,8 @@
 		lists := newListReader(strings.NewReader("\n" + text + "\n\n" + text + "\n"))
 		for range 2 {
 			got, err := lists.next()
-			if err != nil || got.Seq != want.Seq || got.Whole != want.Whole || len(got.Hosts) != len(want.Hosts) ||
-				len(got.Hosts) > 0 && !reflect.DeepEqual(got.Hosts, want.Hosts) {
+			if err != nil || got.Version != want.Version || got.Full != want.Full || len(got.Endpoints) != len(want.Endpoints) ||
+				len(got.Endpoints) > 0 && !reflect.DeepEqual(got.Endpoints, want.Endpoints) {
 				t.Errorf("%.60q was read as %.200q, %v", text, fmt.Sprint(got), err)
 			}
 		}
@@ -74,19 +74,19 @@
 
 // A list that is no good is refused whole, by an error that names the entry.
 func TestBadListsNameTheEntry(t *testing.T) {
-	many := `{"hosts":[{"host":"a"}` + strings.Repeat(`,{}`, maxHosts) + `]}`
+	many := `{"hosts":[{"host":"a"}` + strings.Repeat(`,{}`, maxEndpoints) + `]}`
 	long := `{"hosts":[{"host":"a"},{"host":"` + strings.Repeat("x", 2*maxEntryBytes) + `"}]}`
 	for _, c := range []struct {
 		name, text, says string
 		is               error
-	}{{"too many", many, fmt.Sprintf("entry %d:", maxHosts+1), errTooManyHosts}, {"too long", long, "entry 2", errTooLarge},
+	}{{"too many", many, fmt.Sprintf("entry %d:", maxEndpoints+1), errTooManyEndpoints}, {"too long", long, "entry 2", errTooLarge},
 		{"another type", `{"hosts":[{"host":"a"},{"host":"b","block":"no number"}]}`, `entry 2, "b"`, nil},
 		{"cut", `{"seq":1,"hosts":[{"host":"a"},{"host":"b"`, "entry 2", io.ErrUnexpectedEOF},
-		{"no object", `[1]`, "no JSON object", errNoObject}, {"no array", `{"hosts":{"host":"a"}}`, "no array", errNoHosts},
+		{"no object", `[1]`, "not a JSON object", errListNotObject}, {"no array", `{"hosts":{"host":"a"}}`, "not an array", errEndpointsNotArray},
 		{"endless field", `{"new":"` + strings.Repeat("x", 2*maxListBytes), "larger", errTooLarge}} {
 		list, err := newListReader(strings.NewReader(c.text)).next()
-		if err == nil || !strings.Contains(err.Error(), c.says) || c.is != nil && !errors.Is(err, c.is) || len(list.Hosts) != 0 {
-			t.Errorf("%s: %d hosts, error %v", c.name, len(list.Hosts), err)
+		if err == nil || !strings.Contains(err.Error(), c.says) || c.is != nil && !errors.Is(err, c.is) || len(list.Endpoints) != 0 {
+			t.Errorf("%s: %d hosts, error %v", c.name, len(list.Endpoints), err)
 		}
 	}
 }
--- a/internal/frontdoor/loop.go
+++ b/internal/frontdoor/loop.go
@@ -102,7 +102,7 @@
 	if !c.Settings.AskForList {
 		return 0
 	}
-	return max(stalenessBound/2, stalenessBound-leaseMargin-c.Conns.Connect)
+	return max(stalenessBound/2, stalenessBound-leaseMargin-c.Connections.Connect)
 }
 
 // NewLoop starts a gateway that knows the backends of the configuration. Errors are those of gateway.New.
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	l := newLoop(k, decisions, backends)
-	l.update(c.Known, gateway.ListSaved)
+	l.update(c.SavedList, gateway.ListSaved)
 	return l, nil
 }
 
@@ -126,7 +126,7 @@
 // Update passes a list, or changes to it, from discovery to the gateway.
 func (l *Loop) Update(list EndpointList) {
 	kind := gateway.ListChanges
-	if list.Whole {
+	if list.Full {
 		kind = gateway.ListFull
 	}
 	l.update(list, kind)
@@ -134,7 +134,7 @@
 }
 
 func (l *Loop) update(list EndpointList, kind gateway.ListKind) {
-	list.Hosts = validEndpoints(list.Hosts)
+	list.Endpoints = validEndpoints(list.Endpoints)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.handle(gateway.BackendList{Kind: kind, Backends: l.backends.update(list, l.clock)})
--- a/internal/frontdoor/pace.go
+++ b/internal/frontdoor/pace.go
@@ -6,68 +6,67 @@
 	"time"
 )
 
-// Back-off and time-outs of requests to discovery.
-
-// retryPolicy determines the pauses between requests to discovery and their time-outs.
+// retryPolicy determines the timeouts of requests to discovery and the backoff between them.
 type retryPolicy struct {
-	sharedService     bool          // all instances request one service; else each has an agent of its own
-	staleAfterFailure time.Duration // after a failed request, how long until the list counts as stale; 0: never
-	grace             time.Duration // how long attempts at a draining backend are still allowed
+	sharedService     bool          // all gateways request the list from one service; else each has its own agent
+	staleAfterFailure time.Duration // time from a failed request until the list counts as stale; 0: no limit
+	drainGrace        time.Duration // how long attempts at a draining backend are still allowed
 }
 
-// newRetryPolicy is the policy for a configuration.
-func newRetryPolicy(c Config) retryPolicy {
-	p := retryPolicy{sharedService: c.Settings.AskForList, staleAfterFailure: failedFactor * c.Conns.StaleAfter,
-		grace: c.Settings.DrainGrace}
-	if p.grace <= 0 { // not in the settings
-		p.grace = 500 * time.Millisecond
+// newRetryPolicy returns the policy for a configuration.
+func newRetryPolicy(config Config) retryPolicy {
+	policy := retryPolicy{sharedService: config.Settings.AskForList,
+		staleAfterFailure: failedRequestFactor * config.Connections.StaleAfter, drainGrace: config.Settings.DrainGrace}
+	if policy.drainGrace <= 0 { // the settings don't state it
+		policy.drainGrace = 500 * time.Millisecond
 	}
-	return p
+	return policy
 }
 
-// failure is a failed request to discovery or a watch that ended.
+// failure describes a failed request to discovery or a watch that ended.
 type failure struct {
 	err         error
-	consecutive int           // failures in a row, this one included
+	consecutive int           // number of failures in a row, including this one
 	hasList     bool          // this process has received a list
-	slack       time.Duration // how long a request can be put off and still be answered within stalenessBound
+	slack       time.Duration // how long a request can be delayed and still be answered within stalenessBound
 }
 
-// pause is the pause after a failure, with full jitter.
-func (p retryPolicy) pause(f failure) time.Duration {
-	return rand.N(max(1, p.maxPause(f)))
+// backoff returns the time to wait after a failure, with full jitter.
+func (p retryPolicy) backoff(f failure) time.Duration {
+	return rand.N(max(1, p.backoffLimit(f)))
 }
 
-// maxPause is the longest pause after a failure.
-func (p retryPolicy) maxPause(f failure) time.Duration {
+// backoffLimit returns the upper limit of the backoff after a failure.
+func (p retryPolicy) backoffLimit(f failure) time.Duration {
 	if !p.sharedService {
-		return time.Duration(agentPauseFraction * float64(p.grace))
+		return time.Duration(agentBackoffFraction * float64(p.drainGrace))
 	}
-	pause := backOff(f)
+	limit := serviceBackoffLimit(f)
 	if p.staleAfterFailure > 0 {
-		pause = min(pause, p.staleAfterFailure)
+		limit = min(limit, p.staleAfterFailure)
 	}
-	return pause
+	return limit
 }
 
-// backOff is the longest pause after a failure at a service: exponential, unless the service is overloaded.
-func backOff(f failure) time.Duration {
-	var refusal *statusError
-	busy := errors.As(f.err, &refusal) && refusal.took < fastRefusal
+// serviceBackoffLimit returns the upper limit of the backoff after a failure at a shared service. It grows
+// exponentially, unless the service is overloaded.
+func serviceBackoffLimit(f failure) time.Duration {
+	var rejection *statusError
+	overloaded := errors.As(f.err, &rejection) && rejection.elapsed < fastRejectionTime
 	switch {
-	case busy && f.hasList && f.slack <= 0:
-		return retryMaxBusy
-	case busy:
-		return max(retryBase, f.slack)
+	case overloaded && f.hasList && f.slack <= 0:
+		return maxBackoffOverloaded
+	case overloaded:
+		return max(baseBackoff, f.slack)
 	}
-	longest := retryMaxNew
+	limit := maxBackoffWithoutList
 	if f.hasList {
-		longest = retryMax
+		limit = maxBackoff
 	}
-	return min(retryBase<<min(f.consecutive-1, 10), longest)
+	return min(baseBackoff<<min(f.consecutive-1, 10), limit)
 }
 
-// idleTimeout is how long a watch may stay silent.
+// idleTimeout returns how long a watch may send nothing.
 func (p retryPolicy) idleTimeout() time.Duration {
 	if p.sharedService {
 		return serviceIdleTimeout
@@ -75,11 +74,11 @@
 	return agentIdleTimeout
 }
 
-// responseTimeout is how long a request may take until the first byte of its response: an agent responds at once, a
-// service from a queue.
+// responseTimeout returns how long a request may take until the first byte of its response. An agent responds
+// immediately, while a service may queue the request.
 func (p retryPolicy) responseTimeout() time.Duration {
 	if p.sharedService {
 		return serviceIdleTimeout
 	}
-	return time.Duration(agentTimeoutFraction * float64(p.grace))
+	return time.Duration(agentTimeoutFraction * float64(p.drainGrace))
 }
--- a/internal/frontdoor/pace_test.go
+++ b/internal/frontdoor/pace_test.go
@@ -51,7 +51,7 @@
 		var all sync.WaitGroup
 		for range doors {
 			all.Go(func() {
-				newFollower(busy(true), retryPolicy{sharedService: true}, "discovery", 1, func(EndpointList) {}).keepWatching(ctx)
+				newWatcher(busy(true), retryPolicy{sharedService: true}, "discovery", 1, func(EndpointList) {}).keepWatching(ctx)
 			})
 		}
 		all.Wait()
@@ -65,34 +65,34 @@
 // Pauses are drawn from all of what a failure calls for, and never from more.
 func TestPausesStayInBounds(t *testing.T) {
 	const grace, mustAsk = time.Second, 800 * time.Millisecond
-	service := retryPolicy{sharedService: true, grace: grace}
-	strict := retryPolicy{sharedService: true, grace: grace, staleAfterFailure: mustAsk}
-	broken, full := io.ErrUnexpectedEOF, &statusError{took: 4 * time.Millisecond}
-	late := &statusError{took: maxQueueWait}
+	service := retryPolicy{sharedService: true, drainGrace: grace}
+	strict := retryPolicy{sharedService: true, drainGrace: grace, staleAfterFailure: mustAsk}
+	broken, full := io.ErrUnexpectedEOF, &statusError{elapsed: 4 * time.Millisecond}
+	late := &statusError{elapsed: maxQueueWait}
 	for _, c := range []struct {
 		name    string
 		pace    retryPolicy
 		failure failure
 		most    time.Duration
 	}{
-		{"a broken watch", service, failure{err: broken, consecutive: 1, hasList: true, slack: 4 * time.Second}, retryBase},
-		{"four breaks", service, failure{err: broken, consecutive: 4, hasList: true}, 8 * retryBase},
-		{"many breaks", service, failure{err: broken, consecutive: 1 << 40, hasList: true}, retryMax},
-		{"many breaks, and no list", service, failure{err: broken, consecutive: 1 << 40}, retryMaxNew},
+		{"a broken watch", service, failure{err: broken, consecutive: 1, hasList: true, slack: 4 * time.Second}, baseBackoff},
+		{"four breaks", service, failure{err: broken, consecutive: 4, hasList: true}, 8 * baseBackoff},
+		{"many breaks", service, failure{err: broken, consecutive: 1 << 40, hasList: true}, maxBackoff},
+		{"many breaks, and no list", service, failure{err: broken, consecutive: 1 << 40}, maxBackoffWithoutList},
 		{"refused with time left", service, failure{err: full, consecutive: 2, hasList: true, slack: 2 * time.Second}, 2 * time.Second},
-		{"refused with little time left", service, failure{err: full, consecutive: 2, hasList: true, slack: 1}, retryBase},
-		{"refused with no time left", service, failure{err: full, consecutive: 2, hasList: true, slack: -time.Hour}, retryMaxBusy},
-		{"refused often, and no list", service, failure{err: full, consecutive: 1 << 40}, retryBase},
-		{"refused late", service, failure{err: late, consecutive: 1, hasList: true, slack: 4 * time.Second}, retryBase},
-		{"refused late many times", service, failure{err: late, consecutive: 1 << 40, hasList: true}, retryMax},
-		{"refused late many times, and no list", service, failure{err: late, consecutive: 1 << 40}, retryMaxNew},
+		{"refused with little time left", service, failure{err: full, consecutive: 2, hasList: true, slack: 1}, baseBackoff},
+		{"refused with no time left", service, failure{err: full, consecutive: 2, hasList: true, slack: -time.Hour}, maxBackoffOverloaded},
+		{"refused often, and no list", service, failure{err: full, consecutive: 1 << 40}, baseBackoff},
+		{"refused late", service, failure{err: late, consecutive: 1, hasList: true, slack: 4 * time.Second}, baseBackoff},
+		{"refused late many times", service, failure{err: late, consecutive: 1 << 40, hasList: true}, maxBackoff},
+		{"refused late many times, and no list", service, failure{err: late, consecutive: 1 << 40}, maxBackoffWithoutList},
 		{"refused where one must ask soon", strict, failure{err: full, consecutive: 1, hasList: true}, mustAsk},
-		{"an agent", retryPolicy{grace: grace}, failure{err: broken, consecutive: 1}, grace / 4},
-		{"an agent, many times", retryPolicy{grace: grace}, failure{err: full, consecutive: 1 << 40}, grace / 4},
+		{"an agent", retryPolicy{drainGrace: grace}, failure{err: broken, consecutive: 1}, grace / 4},
+		{"an agent, many times", retryPolicy{drainGrace: grace}, failure{err: full, consecutive: 1 << 40}, grace / 4},
 	} {
 		longest := time.Duration(0)
 		for range 1000 {
-			longest = max(longest, c.pace.pause(c.failure))
+			longest = max(longest, c.pace.backoff(c.failure))
 		}
 		if longest >= c.most || longest < c.most*3/4 {
 			t.Errorf("%s: pauses up to %v, %v wanted", c.name, longest, c.most)
@@ -116,7 +116,7 @@
 		})
 		const grace = 400 * time.Millisecond
 		p := newRetryPolicy(Config{Settings: gateway.Settings{Gateways: 300, DrainGrace: grace}})
-		newFollower(silent, p, "agent", 1, func(EndpointList) {}).keepWatching(ctx)
+		newWatcher(silent, p, "agent", 1, func(EndpointList) {}).keepWatching(ctx)
 		if len(requested) == 0 || requested[0] > 0 {
 			t.Fatalf("asked first at %v", requested)
 		}
--- a/internal/scalelab/agent.go
+++ b/internal/scalelab/agent.go
@@ -52,7 +52,7 @@
 }
 
 func listLine(sequence int64, whole bool, hosts []frontdoor.Endpoint) ([]byte, error) {
-	text, err := json.Marshal(frontdoor.EndpointList{Seq: sequence, Whole: whole, Hosts: hosts})
+	text, err := json.Marshal(frontdoor.EndpointList{Version: sequence, Full: whole, Endpoints: hosts})
 	return append(text, '\n'), err
 }
 
--- a/internal/scalelab/program.go
+++ b/internal/scalelab/program.go
@@ -34,15 +34,15 @@
 		time.Sleep(lastTimer) // until then its timer holds the loop, and what is measured next would begin with its memory
 	}()
 	c.ProgramListMicros = micros(func() {
-		loop.Update(frontdoor.EndpointList{Seq: 1, Whole: true, Hosts: hosts})
+		loop.Update(frontdoor.EndpointList{Version: 1, Full: true, Endpoints: hosts})
 	}, 1)
 	c.ProgramStateBytes = float64(heapInUse()) - float64(before)
 	c.ProgramChangeMicros = micros(func() {
 		for range measuredChanges / 2 {
 			host := hosts[random.IntN(len(hosts))]
 			for _, health := range []string{"Terminating", "Ready"} {
-				host.Health = health
-				loop.Update(frontdoor.EndpointList{Hosts: []frontdoor.Endpoint{host}})
+				host.State = health
+				loop.Update(frontdoor.EndpointList{Endpoints: []frontdoor.Endpoint{host}})
 			}
 		}
 	}, measuredChanges)
--- a/internal/scalelab/sockets.go
+++ b/internal/scalelab/sockets.go
@@ -68,10 +68,10 @@
 	ctx, stop := context.WithCancel(context.Background())
 	real := &realGateway{address: listener.Addr().String(), loop: loop, taken: make(chan int, 16), stop: stop,
 		ended: make(chan error, 1)}
-	go frontdoor.Follow(ctx, config, nil, func(list frontdoor.EndpointList) {
-		count := len(list.Hosts)
+	go frontdoor.WatchDiscovery(ctx, config, nil, func(list frontdoor.EndpointList) {
+		count := len(list.Endpoints)
 		loop.Update(list)
-		if list.Whole {
+		if list.Full {
 			real.taken <- count
 		}
 	})
@@ -116,7 +116,7 @@
 		return result, err
 	}
 	if !result.ListTaken { // to measure the latency all the same
-		gateway.loop.Update(frontdoor.EndpointList{Seq: 1, Whole: true, Hosts: hosts})
+		gateway.loop.Update(frontdoor.EndpointList{Version: 1, Full: true, Endpoints: hosts})
 	}
 	runtime.KeepAlive(hosts)
 	result.IdleCPU = idle(ctx)
--- a/internal/scalelab/watches.go
+++ b/internal/scalelab/watches.go
@@ -53,8 +53,8 @@
 	told := make(chan time.Time, 4*gateways)
 	var started atomic.Int64
 	for range gateways {
-		go frontdoor.Follow(ctx, config, nil, func(list frontdoor.EndpointList) {
-			if list.Whole {
+		go frontdoor.WatchDiscovery(ctx, config, nil, func(list frontdoor.EndpointList) {
+			if list.Full {
 				started.Add(1)
 			} else {
 				told <- time.Now()
--- a/internal/scalelab/wire.go
+++ b/internal/scalelab/wire.go
@@ -11,9 +11,9 @@
 // endpoint is a backend as discovery writes it.
 func endpoint(backend BackendInfo, address string) frontdoor.Endpoint {
 	health := [...]string{"Ready", "Terminating", "Gone"}[backend.State]
-	return frontdoor.Endpoint{Host: fmt.Sprintf("s-%08x", uint32(backend.ID)), Dial: address, Site: backend.Zone,
-		Class: backend.Kind, Block: backend.Cell, Health: health, Share: backend.Weight,
-		BornMS: backend.Started.Milliseconds()}
+	return frontdoor.Endpoint{Host: fmt.Sprintf("s-%08x", uint32(backend.ID)), Address: address, Zone: backend.Zone,
+		Kind: backend.Kind, Cell: backend.Cell, State: health, Weight: backend.Weight,
+		StartedMS: backend.Started.Milliseconds()}
 }
 
 // backendAddress is where a backend of the simulated network listens.
@@ -23,9 +23,9 @@
 
 // listBytes is the length of a list, or of changes, as discovery writes it.
 func listBytes(sequence int64, whole bool, backends []BackendInfo) int {
-	list := frontdoor.EndpointList{Seq: sequence, Whole: whole, Hosts: make([]frontdoor.Endpoint, len(backends))}
+	list := frontdoor.EndpointList{Version: sequence, Full: whole, Endpoints: make([]frontdoor.Endpoint, len(backends))}
 	for i, backend := range backends {
-		list.Hosts[i] = endpoint(backend, backendAddress(backend.ID))
+		list.Endpoints[i] = endpoint(backend, backendAddress(backend.ID))
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
