--- a/cmd/herontiller/main.go
+++ b/cmd/herontiller/main.go
@@ -50,7 +50,7 @@
 	go frontdoor.WatchDiscovery(watching, config, moves, loop.Update)
 	go reload(watching, path, hup, moves)
 	slog.Info("serving", "name", config.Name, "listen", listener.Addr(), "backends", len(config.SavedList.Endpoints))
-	err = frontdoor.NewClients(config, loop).Run(ctx, listener)
+	err = frontdoor.NewServer(config, loop).Run(ctx, listener)
 	slog.Info("ended", "err", err)
 	return err
 }
--- a/cmd/standin/main_test.go
+++ b/cmd/standin/main_test.go
@@ -49,7 +49,7 @@
 		default:
 		}
 	})
-	go func() { ended <- frontdoor.NewClients(config, loop).Run(ctx, listener) }()
+	go func() { ended <- frontdoor.NewServer(config, loop).Run(ctx, listener) }()
 	t.Cleanup(func() {
 		stop()
 		if err := <-ended; err != nil {
--- a/internal/frontdoor/attempts_test.go
+++ b/internal/frontdoor/attempts_test.go
@@ -74,7 +74,7 @@
 }
 
 func (c *deafConn) Read(p []byte) (int, error) {
-	if len(p) == watchBufferSize {
+	if len(p) == disconnectBufferSize {
 		<-c.end
 	}
 	return c.TCPConn.Read(p)
@@ -294,7 +294,7 @@
 		b.mu.Unlock()
 		b.pool.mu.Lock()
 		answered := time.Now().Add(-10 * time.Millisecond)
-		at.idle[0].idleSince = answered
+		at.idleConns[0].idleSince = answered
 		b.pool.mu.Unlock()
 		r := b.send(t.Context(), t.Context(), id, lookMessage)
 		if time.Since(answered) > 40*time.Millisecond {
--- a/internal/frontdoor/backends.go
+++ b/internal/frontdoor/backends.go
@@ -21,34 +21,35 @@
 )
 
 const (
-	maxBody      = 64 << 10 // bytes, the protocol's limit
+	maxBody      = 64 << 10 // bytes; the protocol's limit
 	probeTimeout = time.Second
-	// A pooled connection is closed after this fraction of the idle time at which the backend may close it: a request
-	// that crosses the backend's close may have run.
-	idleFraction = 0.6
-	// A response that has begun and is not complete within responseTimeout is malformed: backends write theirs at once.
-	responseTimeout = 500 * time.Millisecond
-	maxResponseHead = 16 << 10 // bytes of a response, preceding 1xx responses included
-	maxUsagePercent = 10_000   // percent of the quota; a higher figure is invalid
+	// A pooled connection is closed after this fraction of the idle time after which the backend may close it. If a
+	// request is sent while the backend closes the connection, it is unknown whether the request has run.
+	maxIdleFraction = 0.6
+	// A response that has begun and is not complete within this time is considered malformed, as backends write a
+	// response in one go.
+	responseReadTimeout = 500 * time.Millisecond
+	maxResponseHead     = 16 << 10 // bytes, including preceding 1xx responses
+	maxUsagePercent     = 10_000   // percent of the quota; a higher value is invalid
 )
 
-// message is a client's request as each attempt sends it to a backend.
-type message struct {
+// forwardedRequest is a request as each attempt sends it to a backend: a client's request, or a probe.
+type forwardedRequest struct {
 	method       string
 	target       string // path and query as received
 	host         string
 	header       http.Header
 	body         []byte
-	disconnected func() bool // reports whether the client has disconnected, and then ends the request; nil: no client
+	disconnected func() bool // reports whether the client has disconnected, and ends the request if so; may be nil
 }
 
-// cancelled reports whether an attempt must not be sent any more.
-func (m *message) cancelled(unsent context.Context) bool {
-	return unsent.Err() != nil || m.disconnected != nil && m.disconnected()
+// cancelled reports whether an attempt must no longer be sent.
+func (r *forwardedRequest) cancelled(writeCtx context.Context) bool {
+	return writeCtx.Err() != nil || r.disconnected != nil && r.disconnected()
 }
 
-// reply is how an attempt ended and, if there was a response, what it held.
-type reply struct {
+// attemptOutcome is the result of an attempt and, if there was a response, the response's contents.
+type attemptOutcome struct {
 	result      gateway.Result
 	contentType []string
 	body        []byte
@@ -57,7 +58,7 @@
 	load        []float64
 }
 
-// backend is one entry of the list of backends. Its fields other than id are guarded by Backends.mu.
+// backend is an entry of the list of backends. All fields except id are guarded by Backends.mu.
 type backend struct {
 	id        gateway.BackendID
 	startedMS int64
@@ -65,243 +66,251 @@
 	endpoint  *endpointPool
 }
 
-// Backends sends attempts to the backends that discovery has listed, over pooled connections.
+// Backends sends attempts to the backends that discovery has listed. It uses pooled connections.
 type Backends struct {
 	pool        *pool
-	loadColumns []string // names of load figures as in the header, in the order of the settings
-	loadReports bool     // the settings name load figures, so probes request them
+	loadColumns []string // names of load figures in the header, in the order of the settings
+	requestLoad bool     // probes request load figures, as the settings name some
 	failureLog  rate.Sometimes
 
 	mu     sync.Mutex
 	lastID gateway.BackendID
-	byHost map[string]*backend // without those that are gone
+	byHost map[string]*backend // excludes those that are gone
 	byID   map[gateway.BackendID]*backend
 }
 
-// columnNames maps the settings' names of load figures to the header's.
-var columnNames = map[string]string{"concurrent": "inflight", "depth": "queue", "load_share": "util",
+// loadHeaderNames maps the names of load figures in the settings to those in the header.
+var loadHeaderNames = map[string]string{"concurrent": "inflight", "depth": "queue", "load_share": "util",
 	"mean_ms": "latency_ms", "tps": "qps", "err_ps": "eps"}
 
-// NewBackends returns one that knows no backends yet.
-func NewBackends(c Config) *Backends {
-	dialer := &net.Dialer{Timeout: c.Connections.Connect, KeepAlive: -1}
-	b := &Backends{loadReports: len(c.Settings.LoadColumns) > 0,
+// NewBackends returns Backends with an empty list.
+func NewBackends(config Config) *Backends {
+	dialer := &net.Dialer{Timeout: config.Connections.Connect, KeepAlive: -1}
+	b := &Backends{requestLoad: len(config.Settings.LoadColumns) > 0,
 		failureLog: rate.Sometimes{First: 10, Interval: time.Second},
-		pool:       newPool(dialer.DialContext, c.Limits.backendConns(), time.Duration(idleFraction*float64(c.Connections.Idle))),
-		byHost:     map[string]*backend{}, byID: map[gateway.BackendID]*backend{}}
-	for _, name := range c.Settings.LoadColumns {
-		if short, ok := columnNames[name]; ok {
-			name = short
+		pool: newPool(dialer.DialContext, config.Limits.backendConns(),
+			time.Duration(maxIdleFraction*float64(config.Connections.Idle))),
+		byHost: map[string]*backend{}, byID: map[gateway.BackendID]*backend{}}
+	for _, name := range config.Settings.LoadColumns {
+		if headerName, ok := loadHeaderNames[name]; ok {
+			name = headerName
 		}
 		b.loadColumns = append(b.loadColumns, name)
 	}
 	return b
 }
 
-// update applies a list, or changes to it, and returns it in the gateway's form.
-func (b *Backends) update(list EndpointList, c clock) []gateway.BackendInfo {
+// update applies a full list or a list of changes, and returns its entries converted for the gateway.
+func (b *Backends) update(list EndpointList, clk clock) []gateway.BackendInfo {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	infos := make([]gateway.BackendInfo, 0, len(list.Endpoints))
 	if list.Full {
-		for _, be := range b.byHost {
-			be.state = gateway.Gone // unless listed
+		for _, current := range b.byHost {
+			current.state = gateway.Gone // unless listed below
 		}
 	}
-	for _, e := range list.Endpoints {
-		be := b.byHost[e.Host]
-		if be == nil {
-			if backendStates[e.State] == gateway.Gone {
-				continue // never listed, or removed
+	for _, listed := range list.Endpoints {
+		current := b.byHost[listed.Host]
+		if current == nil {
+			if backendStates[listed.State] == gateway.Gone {
+				continue // it was never listed, or is already removed
 			}
 			b.lastID++
-			be = &backend{id: b.lastID}
-			b.byHost[e.Host], b.byID[be.id] = be, be
+			current = &backend{id: b.lastID}
+			b.byHost[listed.Host], b.byID[current.id] = current, current
 		}
-		if be.endpoint == nil || be.endpoint.addr != e.Address && e.Address != "" || be.startedMS != e.StartedMS {
-			if be.endpoint != nil {
-				b.pool.closeEndpoint(be.endpoint) // its connections lead to the former process
+		if current.endpoint == nil || current.endpoint.addr != listed.Address && listed.Address != "" ||
+			current.startedMS != listed.StartedMS {
+			if current.endpoint != nil {
+				b.pool.closeEndpoint(current.endpoint) // its connections lead to the previous process
 			}
-			be.endpoint = &endpointPool{addr: e.Address}
+			current.endpoint = &endpointPool{addr: listed.Address}
 		}
-		be.startedMS, be.state = e.StartedMS, backendStates[e.State]
-		infos = append(infos, gateway.BackendInfo{ID: be.id, State: be.state, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
-			Started: c.unixMilli(e.StartedMS), Weight: e.Weight})
+		current.startedMS, current.state = listed.StartedMS, backendStates[listed.State]
+		infos = append(infos, gateway.BackendInfo{ID: current.id, State: current.state, Zone: listed.Zone,
+			Kind: listed.Kind, Cell: listed.Cell, Started: clk.unixMilli(listed.StartedMS), Weight: listed.Weight})
 	}
 	if list.Full {
-		for host, be := range b.byHost {
-			b.forgetGone(host, be)
+		for host, current := range b.byHost {
+			b.removeIfGone(host, current)
 		}
 		return infos
 	}
-	for _, e := range list.Endpoints { // a change must not cost time for all backends
-		b.forgetGone(e.Host, b.byHost[e.Host])
+	for _, listed := range list.Endpoints { // the cost of a change must not depend on the number of all backends
+		b.removeIfGone(listed.Host, b.byHost[listed.Host])
 	}
 	return infos
 }
 
-// forgetGone removes a backend that is gone. If it is listed again, it is a new one, for the gateway as well.
-func (b *Backends) forgetGone(host string, be *backend) {
-	if be != nil && be.state == gateway.Gone {
-		b.pool.closeEndpoint(be.endpoint)
+// removeIfGone removes a backend that is gone. If the host is listed again later, it becomes a new backend with a new
+// ID.
+func (b *Backends) removeIfGone(host string, current *backend) {
+	if current != nil && current.state == gateway.Gone {
+		b.pool.closeEndpoint(current.endpoint)
 		delete(b.byHost, host)
-		delete(b.byID, be.id)
+		delete(b.byID, current.id)
 	}
 }
 
-// readyEndpoint returns the endpoint pool of a backend that may be sent attempts now, else nil.
+// readyEndpoint returns the endpoint pool of a backend that is ready for attempts. For other backends it returns nil.
 func (b *Backends) readyEndpoint(id gateway.BackendID) *endpointPool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if be := b.byID[id]; be != nil && be.state == gateway.Ready {
-		return be.endpoint
+	if current := b.byID[id]; current != nil && current.state == gateway.Ready {
+		return current.endpoint
 	}
 	return nil
 }
 
-// errAttemptObsolete ends an attempt whose client has disconnected or whose backend must be sent nothing new.
-var errAttemptObsolete = errors.New("the backend may be sent nothing new")
+// errAttemptObsolete ends an attempt whose client has disconnected or whose backend is no longer ready for attempts.
+var errAttemptObsolete = errors.New("not sent: the client has disconnected, or the backend is no longer ready")
 
-// send makes one attempt and returns how it ended. It never sends a request twice. unsent is a child of ctx and may end
-// first: a request that is not written whole by then is not sent.
-func (b *Backends) send(ctx, unsent context.Context, id gateway.BackendID, m *message) *reply {
-	r := &reply{result: gateway.NotSent}
+// send makes one attempt and returns its outcome. It never sends a request twice. writeCtx is derived from ctx and may
+// end first: a request that has not been written completely by then counts as not sent.
+func (b *Backends) send(ctx, writeCtx context.Context, id gateway.BackendID,
+	request *forwardedRequest) *attemptOutcome {
+	outcome := &attemptOutcome{result: gateway.NotSent}
 	endpoint := b.readyEndpoint(id)
-	if endpoint == nil || unsent.Err() != nil {
-		return r
+	if endpoint == nil || writeCtx.Err() != nil {
+		return outcome
 	}
-	c, err := b.write(ctx, unsent, id, endpoint, m)
+	conn, err := b.writeRequest(ctx, writeCtx, id, endpoint, request)
 	if err != nil {
-		r.result = unsentResult(ctx, unsent, err)
+		outcome.result = writeFailureResult(ctx, writeCtx, err)
 		b.logFailure(endpoint, err)
-		return r
+		return outcome
 	}
-	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-	keep, err := b.read(ctx, c, m, r)
-	if stop() && err == nil && keep {
-		b.pool.put(c)
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
+	reusable, err := b.readResponse(ctx, conn, request, outcome)
+	if stop() && err == nil && reusable {
+		b.pool.put(conn)
 	} else {
-		b.pool.close(c)
+		b.pool.close(conn)
 	}
 	if err == nil {
-		return r
+		return outcome
 	}
-	r.result = failedResult(ctx, err)
-	if r.result == gateway.Broken || r.result == gateway.Unknown {
+	outcome.result = readFailureResult(ctx, err)
+	if outcome.result == gateway.Broken || outcome.result == gateway.Unknown {
 		b.logFailure(endpoint, err)
 	}
-	return r
+	return outcome
 }
 
-// unsentResult is the result of an attempt whose request could not be written whole. Only a failure of the backend's
-// counts as one: not the end of the attempt, nor a shortage of connections or descriptors here.
-func unsentResult(ctx, unsent context.Context, err error) gateway.Result {
+// writeFailureResult returns the result of an attempt whose request could not be written completely. The result blames
+// the backend only for its own failures, not for the cancellation or timeout of the attempt, or for a lack of
+// connections or file descriptors here.
+func writeFailureResult(ctx, writeCtx context.Context, err error) gateway.Result {
 	switch {
 	case context.Cause(ctx) == context.Canceled:
 		return gateway.Cancelled
-	case unsent.Err() != nil || errors.Is(err, errAttemptObsolete) || errors.Is(err, errPoolFull) ||
+	case writeCtx.Err() != nil || errors.Is(err, errAttemptObsolete) || errors.Is(err, errPoolFull) ||
 		errors.Is(err, syscall.EMFILE):
 		return gateway.NotSent
 	}
 	return gateway.NoConnection
 }
 
-// failedResult is the result of an attempt that was sent and has no usable response.
-func failedResult(ctx context.Context, err error) gateway.Result {
+// readFailureResult returns the result of an attempt that was sent and received no usable response.
+func readFailureResult(ctx context.Context, err error) gateway.Result {
 	switch {
 	case context.Cause(ctx) == context.Canceled:
 		return gateway.Cancelled
 	case ctx.Err() != nil:
 		return gateway.TimedOut
-	case errors.Is(err, errConnClosed):
+	case errors.Is(err, errNoResponse):
 		return gateway.Broken
 	}
-	return gateway.Unknown // a malformed response: the backend is as well as before, and the request may have run
+	return gateway.Unknown // a malformed response: it shows no outage of the backend, and the request may have run
 }
 
+// logFailure logs the failure of an attempt, at a limited rate.
 func (b *Backends) logFailure(endpoint *endpointPool, err error) {
-	b.failureLog.Do(func() { slog.Warn("an attempt failed", "backend", endpoint.addr, "err", err) })
+	b.failureLog.Do(func() { slog.Warn("an attempt at a backend failed", "backend", endpoint.addr, "err", err) })
 }
 
-// write sends a whole request, unless unsent ends first. An error means that its last byte was not written, so that it
-// has not run. A pooled connection that proves dead before then is replaced by a new one.
-func (b *Backends) write(ctx, unsent context.Context, id gateway.BackendID, endpoint *endpointPool,
-	m *message) (*pooledConn, error) {
+// writeRequest writes a complete request unless writeCtx ends first, and returns the connection. An error means that
+// the last byte was not written, so the request has not run. If a pooled connection turns out to be broken before that,
+// writeRequest retries on a new one.
+func (b *Backends) writeRequest(ctx, writeCtx context.Context, id gateway.BackendID, endpoint *endpointPool,
+	request *forwardedRequest) (*pooledConn, error) {
 	for fresh := false; ; fresh = true {
-		c, err := b.pool.get(unsent, endpoint, fresh)
+		conn, err := b.pool.get(writeCtx, endpoint, fresh)
 		if err != nil {
 			return nil, err
 		}
-		// Connecting may have taken long, and the notification that the client has disconnected may be late.
-		if b.readyEndpoint(id) != endpoint || m.cancelled(unsent) {
-			b.pool.close(c)
+		// Connecting may have taken a long time, and the HTTP server may be late to detect that the client has
+		// disconnected.
+		if b.readyEndpoint(id) != endpoint || request.cancelled(writeCtx) {
+			b.pool.close(conn)
 			return nil, errAttemptObsolete
 		}
-		text, err := m.encode(ctx)
+		encoded, err := request.encode(ctx)
 		if err == nil {
-			c.SetReadDeadline(time.Time{}) // from here on only the end of ctx ends the wait
-			err = c.writeAll(unsent, text)
+			conn.SetReadDeadline(time.Time{}) // from now on only the end of ctx sets a deadline
+			err = conn.writeAll(writeCtx, encoded)
 		}
 		if err == nil {
-			return c, nil
+			return conn, nil
 		}
-		b.pool.close(c)
-		if !c.hasServed || unsent.Err() != nil {
+		b.pool.close(conn)
+		if !conn.hasServed || writeCtx.Err() != nil {
 			return nil, err
 		}
 	}
 }
 
-// writeSlice is how long a blocked write goes on between two checks whether its attempt has been cancelled.
-const writeSlice = 50 * time.Millisecond
+// writeCheckInterval is the interval at which a blocked write checks whether its attempt has been cancelled.
+const writeCheckInterval = 50 * time.Millisecond
 
-// writeAll writes all of text, unless unsent ends first.
-func (c *pooledConn) writeAll(unsent context.Context, text []byte) error {
-	for len(text) > 0 {
-		c.SetWriteDeadline(time.Now().Add(writeSlice))
-		n, err := c.Write(text)
-		text = text[n:]
-		if ne, ok := err.(net.Error); ok && ne.Timeout() && unsent.Err() == nil {
+// writeAll writes all of data unless writeCtx ends first.
+func (c *pooledConn) writeAll(writeCtx context.Context, data []byte) error {
+	for len(data) > 0 {
+		c.SetWriteDeadline(time.Now().Add(writeCheckInterval))
+		n, err := c.Write(data)
+		data = data[n:]
+		if netErr, ok := err.(net.Error); ok && netErr.Timeout() && writeCtx.Err() == nil {
 			continue
 		}
-		if err != nil && len(text) > 0 {
+		if err != nil && len(data) > 0 {
 			return err
 		}
 	}
 	return nil
 }
 
-// encode returns one attempt's request in its HTTP/1.1 form, with the time left until the deadline of ctx.
-func (m *message) encode(ctx context.Context) ([]byte, error) {
-	header := m.header.Clone()
-	if due, ok := ctx.Deadline(); ok {
-		header["Request-Timeout"] = []string{strconv.FormatFloat(time.Until(due).Seconds(), 'f', 3, 64)}
+// encode returns the request in HTTP/1.1 format. Its Request-Timeout is the time left until the deadline of ctx.
+func (r *forwardedRequest) encode(ctx context.Context) ([]byte, error) {
+	header := r.header.Clone()
+	if deadline, ok := ctx.Deadline(); ok {
+		header["Request-Timeout"] = []string{strconv.FormatFloat(time.Until(deadline).Seconds(), 'f', 3, 64)}
 	}
-	req := &http.Request{Method: m.method, URL: &url.URL{Scheme: "http", Host: m.host, Opaque: m.target}, Host: m.host,
-		Header: header, ContentLength: int64(len(m.body)), Body: http.NoBody}
-	if len(m.body) > 0 {
-		req.Body = io.NopCloser(bytes.NewReader(m.body))
+	req := &http.Request{Method: r.method, URL: &url.URL{Scheme: "http", Host: r.host, Opaque: r.target}, Host: r.host,
+		Header: header, ContentLength: int64(len(r.body)), Body: http.NoBody}
+	if len(r.body) > 0 {
+		req.Body = io.NopCloser(bytes.NewReader(r.body))
 	}
-	var text bytes.Buffer
-	text.Grow(512 + len(m.body))
-	err := req.Write(&text)
-	return text.Bytes(), err
+	var encoded bytes.Buffer
+	encoded.Grow(512 + len(r.body))
+	err := req.Write(&encoded)
+	return encoded.Bytes(), err
 }
 
-// probe requests a backend's health, and its load figures if the settings name any.
+// probe requests a backend's health, or its load figures if the settings name any.
 func (b *Backends) probe(id gateway.BackendID) gateway.ProbeResult {
-	out := gateway.ProbeResult{Backend: id}
-	m := &message{method: http.MethodGet, target: "/health", header: http.Header{}}
-	if b.loadReports {
-		m.target = "/status/load"
+	result := gateway.ProbeResult{Backend: id}
+	request := &forwardedRequest{method: http.MethodGet, target: "/health", header: http.Header{}}
+	if b.requestLoad {
+		request.target = "/status/load"
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	start := time.Now()
-	r := b.send(ctx, ctx, id, m)
-	out.Result, out.Took, out.Load = r.result, time.Since(start), r.load
-	if b.loadReports && r.result == gateway.Answered {
-		out.Load = b.parseLoad(strings.TrimSpace(string(r.body)))
+	outcome := b.send(ctx, ctx, id, request)
+	result.Result, result.Took, result.Load = outcome.result, time.Since(start), outcome.load
+	if b.requestLoad && outcome.result == gateway.Answered {
+		result.Load = b.parseLoad(strings.TrimSpace(string(outcome.body)))
 	}
-	return out
+	return result
 }
--- a/internal/frontdoor/backends_failure_test.go
+++ b/internal/frontdoor/backends_failure_test.go
@@ -71,8 +71,8 @@
 	}
 	b.pool.mu.Lock()
 	defer b.pool.mu.Unlock()
-	if b.pool.open != 1 || b.pool.idle.Len() != 1 {
-		t.Errorf("%d connections, %d idle, want the one that was not spoilt", b.pool.open, b.pool.idle.Len())
+	if b.pool.openCount != 1 || b.pool.idleConns.Len() != 1 {
+		t.Errorf("%d connections, %d idle, want the one that was not spoilt", b.pool.openCount, b.pool.idleConns.Len())
 	}
 }
 
@@ -98,8 +98,8 @@
 	if len(ids) != 20 || len(conns) != 20 {
 		t.Errorf("20 backends had %d ids and %d connections", len(ids), len(conns))
 	}
-	if len(b.byHost) != 1 || len(b.byID) != 1 || b.pool.open != 1 || b.pool.idle.Len() != 1 {
-		t.Errorf("held: %d hosts, %d ids, %d connections", len(b.byHost), len(b.byID), b.pool.open)
+	if len(b.byHost) != 1 || len(b.byID) != 1 || b.pool.openCount != 1 || b.pool.idleConns.Len() != 1 {
+		t.Errorf("held: %d hosts, %d ids, %d connections", len(b.byHost), len(b.byID), b.pool.openCount)
 	}
 }
 
--- a/internal/frontdoor/backends_test.go
+++ b/internal/frontdoor/backends_test.go
@@ -22,9 +22,9 @@
 	return b, b.update(ready(addr), clock{time.Now()})[0].ID
 }
 
-var lookMessage = &message{method: http.MethodGet, target: "/look", host: "origin.svc", header: http.Header{"Request-Id": {"9b1f03aa5c7e2d41"}}}
+var lookMessage = &forwardedRequest{method: http.MethodGet, target: "/look", host: "origin.svc", header: http.Header{"Request-Id": {"9b1f03aa5c7e2d41"}}}
 
-var payMessage = &message{method: http.MethodPost, target: "/pay", host: "origin.svc",
+var payMessage = &forwardedRequest{method: http.MethodPost, target: "/pay", host: "origin.svc",
 	header: http.Header{"Request-Id": {"9b1f03aa5c7e2d42"}, "Idempotency-Key": {"k"}}, body: []byte("amount=3")}
 
 const okReply = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -32,7 +32,7 @@
 // A client library may send a GET, and a POST with an Idempotency-Key, again by itself when a pooled connection
 // turns out dead. Such a copy is an attempt that the gateway knows nothing of.
 func TestNothingIsSentAgainOnADeadConnection(t *testing.T) {
-	for name, m := range map[string]*message{"GET": lookMessage, "keyed POST": payMessage} {
+	for name, m := range map[string]*forwardedRequest{"GET": lookMessage, "keyed POST": payMessage} {
 		var seen atomic.Int64
 		addr := raw(t, func(n int, conn net.Conn) {
 			seen.Add(1)
--- a/internal/frontdoor/clients.go
+++ b/internal/frontdoor/clients.go
@@ -17,208 +17,212 @@
 )
 
 const (
-	// A client's timeout runs from when it sent the request, before it is received here, and its response must arrive
-	// before the end. So the gateway is given gatewayMargin less, and a request still open responseMargin before the
-	// end is answered with 504 here. Of a short timeout both are a fraction only.
+	// A client measures its timeout from when it sends the request, which is before the request is received here, and
+	// the response must reach it before the end. So the gateway is given a timeout that is gatewayMargin shorter, and a
+	// request without a response is answered with 504 responseMargin before the end. The margins of short timeouts are
+	// smaller.
 	gatewayMargin  = 40 * time.Millisecond
 	responseMargin = 20 * time.Millisecond
 	marginDivisor  = 8 // gatewayMargin is at most the timeout divided by this
 
-	// Time-outs of a request's head and body. On a new connection, headTimeout counts from its accept.
-	headTimeout = 1500 * time.Millisecond
-	bodyTimeout = time.Second
-	idleTimeout = 15 * time.Second // how long a client may keep a connection without a request
+	// Timeouts of a request's head and body. On a new connection, headTimeout starts when it is accepted.
+	headTimeout       = 1500 * time.Millisecond
+	bodyTimeout       = time.Second
+	clientIdleTimeout = 15 * time.Second // how long a client's connection may be idle
 
-	// After SIGTERM new connections are accepted for at least drainMin, then until none has arrived for drainQuiet,
-	// and for no longer than drainMax. The platform kills the process no sooner than drainMax and then the longest
-	// deadline, or killGrace if that is shorter, have passed.
+	// Graceful shutdown: after SIGTERM, new connections are accepted for at least drainMin, then until none has
+	// arrived for drainQuiet, and for at most drainMax. The platform kills the process at the earliest when drainMax
+	// plus the longest deadline of all classes, or drainMax plus killGrace if that is shorter, have passed.
 	drainMin   = 500 * time.Millisecond
 	drainQuiet = 150 * time.Millisecond
 	drainMax   = 700 * time.Millisecond
 	killGrace  = 3 * time.Second
-	drainPoll  = 10 * time.Millisecond // interval of the checks for open connections
+	drainPoll  = 10 * time.Millisecond // interval between checks for open connections
 
-	// Where the list must be requested, a new process may send to no backend before it has one, and is not ready for
-	// clients. After this time it is nevertheless: a restarted one must be ready within 6 s.
+	// If the list must be requested, a new process must not send to any backend before it has received one, so it is
+	// not ready for clients. It becomes ready after this time even without a list, as a restarted process must be ready
+	// within 6 s.
 	firstListTimeout = 5 * time.Second
 )
 
-// Clients serves the clients of an instance over HTTP.
-type Clients struct {
+// Server serves the clients of a gateway over HTTP.
+type Server struct {
 	loop          *Loop
 	settings      gateway.Settings
 	classes       map[string]gateway.Class
 	plans         map[string]bool
 	started       time.Time
-	maxDeadline   time.Duration // of all deadlines
-	conns         *connTable
+	maxDeadline   time.Duration // longest deadline of all classes
+	connections   *connTable
 	killTime      atomic.Pointer[time.Time] // when the platform may kill this process; nil before SIGTERM
-	lastConn      atomic.Int64              // when the last connection was accepted, Unix time in nanoseconds
+	lastAccept    atomic.Int64              // when the last connection was accepted, Unix time in nanoseconds
 	badRequestLog rate.Sometimes
 	timeoutLog    rate.Sometimes
 }
 
-// NewClients returns the clients' side for a loop.
-func NewClients(config Config, loop *Loop) *Clients {
+// NewServer returns a Server that passes requests to loop.
+func NewServer(config Config, loop *Loop) *Server {
 	settings := config.Settings
-	c := &Clients{loop: loop, settings: settings, started: time.Now(), conns: newConnTable(config.Limits.clientConns()),
-		classes: map[string]gateway.Class{}, plans: map[string]bool{},
+	s := &Server{loop: loop, settings: settings, started: time.Now(),
+		connections: newConnTable(config.Limits.clientConns()),
+		classes:     map[string]gateway.Class{}, plans: map[string]bool{},
 		badRequestLog: rate.Sometimes{First: 10, Interval: time.Second},
 		timeoutLog:    rate.Sometimes{First: 10, Interval: time.Second}}
 	for _, class := range settings.Classes {
-		c.classes[class.Name] = class
-		c.maxDeadline = max(c.maxDeadline, class.Deadline)
+		s.classes[class.Name] = class
+		s.maxDeadline = max(s.maxDeadline, class.Deadline)
 	}
 	for _, plan := range settings.Plans {
-		c.plans[plan.Name] = true
+		s.plans[plan.Name] = true
 	}
-	return c
+	return s
 }
 
-// Run serves clients on a listener until ctx ends, and then until no request can be lost: it goes on accepting while
-// connections still arrive, stops listening, and returns when no request is open. It returns an error when the listener
+// Run serves clients on a listener until ctx ends, and then shuts down gracefully: it accepts connections while they
+// still arrive, closes the listener, and returns when no request is in progress. It returns an error if the listener
 // fails.
-func (c *Clients) Run(ctx context.Context, listener net.Listener) error {
-	srv := &http.Server{
-		Handler:           c,
+func (s *Server) Run(ctx context.Context, listener net.Listener) error {
+	httpServer := &http.Server{
+		Handler:           s,
 		ReadHeaderTimeout: headTimeout,
-		// There is no ReadTimeout: it would also run while a request waits for its response, and a read that times
-		// out then would look as if the client had disconnected. Bodies have bodyTimeout.
-		WriteTimeout:   c.maxDeadline + 10*time.Second,
-		IdleTimeout:    idleTimeout,
+		// ReadTimeout is not set: it would also apply while a request waits for its response, and a read that times
+		// out then would look as if the client had disconnected. bodyTimeout applies to bodies.
+		WriteTimeout:   s.maxDeadline + 10*time.Second,
+		IdleTimeout:    clientIdleTimeout,
 		MaxHeaderBytes: 16 << 10,
 		ErrorLog:       slog.NewLogLogger(slog.Default().Handler(), slog.LevelWarn),
-		ConnState: func(conn net.Conn, s http.ConnState) {
-			if s == http.StateNew {
-				c.lastConn.Store(time.Now().UnixNano())
+		ConnState: func(conn net.Conn, state http.ConnState) {
+			if state == http.StateNew {
+				s.lastAccept.Store(time.Now().UnixNano())
 			}
-			c.conns.connStateChanged(conn, s)
+			s.connections.connStateChanged(conn, state)
 		},
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
-			return context.WithValue(ctx, connKey{}, conn)
+			return context.WithValue(ctx, connContextKey{}, conn)
 		},
 	}
-	defer srv.Close()
-	accepts := &clientListener{Listener: listener}
-	ended := make(chan error, 1)
-	go func() { ended <- srv.Serve(accepts) }()
+	defer httpServer.Close()
+	trackingListener := &clientListener{Listener: listener}
+	serveEnded := make(chan error, 1)
+	go func() { serveEnded <- httpServer.Serve(trackingListener) }()
 	select {
-	case err := <-ended:
+	case err := <-serveEnded:
 		return err
 	case <-ctx.Done():
 	}
-	return c.drain(accepts, ended)
+	return s.drain(trackingListener, serveEnded)
 }
 
-// drain ends Run gracefully. The server's own Shutdown is not used: it resets connections that are still in the
-// backlog, and closes idle ones even if a request has arrived on them.
-func (c *Clients) drain(accepts *clientListener, ended <-chan error) error {
+// drain is the graceful shutdown at the end of Run. http.Server.Shutdown is not used: it resets connections that are
+// still in the listener's backlog, and closes idle connections even if a request has just arrived on them.
+func (s *Server) drain(trackingListener *clientListener, serveEnded <-chan error) error {
 	start := time.Now()
-	killed := start.Add(drainMax + min(c.maxDeadline, killGrace))
-	c.killTime.Store(&killed)
+	killTime := start.Add(drainMax + min(s.maxDeadline, killGrace))
+	s.killTime.Store(&killTime)
 	for time.Since(start) < drainMin ||
-		time.Since(start) < drainMax && time.Since(time.Unix(0, c.lastConn.Load())) < drainQuiet {
+		time.Since(start) < drainMax && time.Since(time.Unix(0, s.lastAccept.Load())) < drainQuiet {
 		time.Sleep(drainPoll)
 	}
-	if err := accepts.stopAccepting(); err != nil {
-		return fmt.Errorf("end of listening: %w", err)
+	if err := trackingListener.stopAccepting(); err != nil {
+		return fmt.Errorf("stop accepting connections: %w", err)
 	}
-	if err := <-ended; !errors.Is(err, net.ErrClosed) {
-		return fmt.Errorf("end of listening: %w", err)
+	if err := <-serveEnded; !errors.Is(err, net.ErrClosed) {
+		return fmt.Errorf("accept the remaining connections before shutdown: %w", err)
 	}
-	for c.conns.closeIdle(drainQuiet) > 0 && time.Since(start) < drainMax+c.maxDeadline {
+	for s.connections.closeIdle(drainQuiet) > 0 && time.Since(start) < drainMax+s.maxDeadline {
 		time.Sleep(drainPoll)
 	}
 	return nil
 }
 
-// closeAfterResponse makes a connection end with this response once the process drains.
-func (c *Clients) closeAfterResponse(w http.ResponseWriter) {
-	if c.killTime.Load() != nil {
+// closeAfterResponse makes the HTTP server close the connection after this response if the process is shutting down.
+func (s *Server) closeAfterResponse(w http.ResponseWriter) {
+	if s.killTime.Load() != nil {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// ready reports whether the instance is ready for clients.
-func (c *Clients) ready() bool {
-	if c.killTime.Load() != nil {
+// ready reports whether the gateway is ready for clients.
+func (s *Server) ready() bool {
+	if s.killTime.Load() != nil {
 		return false
 	}
-	return !c.settings.AskForList || c.loop.hasList.Load() || time.Since(c.started) >= firstListTimeout
+	return !s.settings.AskForList || s.loop.hasList.Load() || time.Since(s.started) >= firstListTimeout
 }
 
-// ServeHTTP serves one request, with exactly one final response.
-func (c *Clients) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP serves one request, which receives exactly one final response.
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	if r.URL.Path == "/ready" {
-		c.closeAfterResponse(w)
-		if !c.ready() {
+		s.closeAfterResponse(w)
+		if !s.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return
 	}
-	parsed, err := c.parse(r)
+	parsed, err := s.parse(r)
 	if err == nil {
-		parsed.msg.body, err = readBody(w, r, parsed.msg.method)
+		parsed.forwarded.body, err = readBody(w, r, parsed.forwarded.method)
 	}
-	if killTime := c.killTime.Load(); killTime != nil {
-		parsed.timeout = min(parsed.timeout, killTime.Sub(arrived)) // a late request must have its response by then as well
+	if killTime := s.killTime.Load(); killTime != nil {
+		parsed.timeout = min(parsed.timeout, killTime.Sub(arrived)) // late requests must be answered by then, too
 	}
 	if err == nil {
-		var final finalResponse
-		if final, err = c.decide(r, parsed, arrived); err == nil {
-			c.closeAfterResponse(w)
-			c.writeResponse(w, final)
+		var response finalResponse
+		if response, err = s.serve(r, parsed, arrived); err == nil {
+			s.closeAfterResponse(w)
+			s.writeResponse(w, response)
 			return
 		}
 	}
-	c.closeAfterResponse(w)
-	c.writeError(w, r, parsed, err)
+	s.closeAfterResponse(w)
+	s.writeError(w, r, parsed, err)
 }
 
-// decide passes a request that was read to the loop and waits for its final response. An error is one of the loop's, or
-// the context's: context.Canceled after the client has disconnected, context.DeadlineExceeded at the end of its time.
-func (c *Clients) decide(r *http.Request, parsed parsedRequest, arrived time.Time) (finalResponse, error) {
-	forGateway, responseTime := margins(parsed.timeout)
+// serve passes a complete request to the loop and returns its final response. Errors are those of Loop.Serve:
+// context.Canceled if the client has disconnected, context.DeadlineExceeded at the end of the client's timeout.
+func (s *Server) serve(r *http.Request, parsed parsedRequest, arrived time.Time) (finalResponse, error) {
+	forGateway, forResponse := margins(parsed.timeout)
 	parsed.req.Patience = parsed.timeout - forGateway - time.Since(arrived)
-	ctx, cancel := context.WithDeadline(r.Context(), arrived.Add(parsed.timeout-responseTime))
+	ctx, cancel := context.WithDeadline(r.Context(), arrived.Add(parsed.timeout-forResponse))
 	defer cancel()
-	parsed.msg.disconnected = disconnectCheck(r, cancel)
-	return c.loop.Serve(ctx, parsed.req, parsed.msg)
+	parsed.forwarded.disconnected = disconnectCheck(r, cancel)
+	return s.loop.Serve(ctx, parsed.req, parsed.forwarded)
 }
 
 // writeError answers a request that has no final response from the loop.
-func (c *Clients) writeError(w http.ResponseWriter, r *http.Request, parsed parsedRequest, err error) {
+func (s *Server) writeError(w http.ResponseWriter, r *http.Request, parsed parsedRequest, err error) {
 	switch {
 	case errors.Is(err, context.Canceled):
-		// Most likely the client is gone. But it may have closed only its sending side, and without a response
-		// it would read an empty 200. Requests that it sent behind this one are not served.
+		// Most likely the client has disconnected. But it may have closed only its sending side, and if nothing is
+		// written here, the HTTP server sends it an empty 200. Requests that it sent after this one are not served.
 		w.Header().Set("Connection", "close")
 		w.WriteHeader(http.StatusBadGateway)
 	case errors.Is(err, context.DeadlineExceeded):
-		c.timeoutLog.Do(func() {
-			slog.Warn("timed out: no final response in time", "class", parsed.req.Class, "timeout", parsed.timeout)
+		s.timeoutLog.Do(func() {
+			slog.Warn("answered a request with 504: it had no response before the client's timeout",
+				"class", parsed.req.Class, "timeout", parsed.timeout)
 		})
 		w.WriteHeader(http.StatusGatewayTimeout)
 	default:
-		c.badRequestLog.Do(func() { slog.Warn("bad request", "from", r.RemoteAddr, "err", err) })
+		s.badRequestLog.Do(func() { slog.Warn("rejected an invalid request", "client", r.RemoteAddr, "err", err) })
 		status := http.StatusBadRequest
 		if errors.Is(err, errBodyTooLarge) {
 			status = http.StatusRequestEntityTooLarge
 		}
-		w.Header().Set("Connection", "close") // the rest of its request is not read
+		w.Header().Set("Connection", "close") // the rest of the request is not read
 		http.Error(w, err.Error(), status)
 	}
 }
 
-// connKey is the key of a request's connection in its context.
-type connKey struct{}
+// connContextKey is the key of the client's connection in a request's context.
+type connContextKey struct{}
 
-// disconnectCheck returns a check, independent of the server's own watch, whether the client of a request has
-// disconnected; if so, it also ends the request by end. An instance short of CPU notices a disconnection late, and
-// would meanwhile begin attempts whose responses nobody waits for. It returns nil where the connection is unknown.
+// disconnectCheck returns a function that reports whether the client of a request has disconnected, and calls end if it
+// has. It doesn't rely on the HTTP server's detection: a gateway short of CPU detects disconnections late, and would
+// meanwhile start attempts whose responses nobody waits for. If the connection is unknown, disconnectCheck returns nil.
 func disconnectCheck(r *http.Request, end func()) func() bool {
-	conn, ok := r.Context().Value(connKey{}).(net.Conn)
+	conn, ok := r.Context().Value(connContextKey{}).(net.Conn)
 	if !ok {
 		return nil
 	}
@@ -231,17 +235,17 @@
 	}
 }
 
-// writeResponse writes a final response.
-func (c *Clients) writeResponse(w http.ResponseWriter, a finalResponse) {
-	h := w.Header()
-	switch a.kind {
+// writeResponse writes the final response to a client.
+func (s *Server) writeResponse(w http.ResponseWriter, response finalResponse) {
+	header := w.Header()
+	switch response.kind {
 	case served:
-		h["Content-Type"] = a.reply.contentType // nil: none is sent
-		h.Set("Content-Length", strconv.Itoa(len(a.reply.body)))
-		_, _ = w.Write(a.reply.body) // on an error the connection is closed: the client sees a truncated response
+		header["Content-Type"] = response.outcome.contentType // nil: no header
+		header.Set("Content-Length", strconv.Itoa(len(response.outcome.body)))
+		_, _ = w.Write(response.outcome.body) // after an error the connection is closed, which shows the truncation
 	case rejected:
-		if a.retryAfter > 0 {
-			h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
+		if response.retryAfter > 0 {
+			header.Set("Retry-After", strconv.FormatFloat(response.retryAfter.Seconds(), 'f', 3, 64))
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	default:
@@ -249,9 +253,9 @@
 	}
 }
 
-// margins are how long before the end of a client's timeout the gateway's time ends, and a request still open is
-// answered with 504.
-func margins(timeout time.Duration) (forGateway, responseTime time.Duration) {
+// margins returns how long before the end of a client's timeout the gateway's timeout ends, and a request without a
+// response is answered with 504.
+func margins(timeout time.Duration) (forGateway, forResponse time.Duration) {
 	forGateway = min(gatewayMargin, timeout/marginDivisor)
 	return forGateway, min(responseMargin, forGateway/2)
 }
--- a/internal/frontdoor/config.go
+++ b/internal/frontdoor/config.go
@@ -1,11 +1,11 @@
-// Package frontdoor runs one gateway of package gateway on real sockets: it accepts clients' requests over HTTP,
-// executes the gateway's decisions towards the backends and watches discovery. It makes no policy decisions itself.
+// Package frontdoor runs one gateway of package gateway on real sockets: it accepts clients' requests over HTTP/1.1,
+// executes the gateway's decisions at the backends and watches discovery. It makes no policy decisions itself.
 //
 //   - config.go reads the configuration;
 //   - loop.go owns the gateway, passes it events and executes its actions;
-//   - clients.go serves clients, requests.go validates their requests, conns.go bounds and watches their connections;
-//   - backends.go sends attempts, responses.go reads the responses, pool.go bounds and reuses the connections;
-//   - discovery.go keeps the list of backends up to date, lists.go parses lists, pace.go sets pauses and time-outs.
+//   - clients.go serves clients, requests.go validates their requests, conns.go limits and monitors their connections;
+//   - backends.go sends attempts, responses.go reads the responses, pool.go limits and reuses the connections;
+//   - discovery.go keeps the list of backends up to date, lists.go parses it, pace.go determines timeouts and backoff.
 package frontdoor
 
 import (
@@ -19,48 +19,49 @@
 	"herontiller/internal/wire"
 )
 
-// Limits are the resources that this instance may use.
+// Limits are the resources that this gateway may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Sockets  int     `json:"sockets"` // file descriptors
 }
 
-// clientConns is how many connections of clients may be open. Clients need a third of the descriptors at most for
-// concurrent requests; the surplus is for clients with a request now and then.
+// clientConns returns how many connections of clients may be open. Concurrent requests need at most a third of the file
+// descriptors; the rest is for the idle connections of clients that send requests only occasionally.
 func (l Limits) clientConns() int { return max(1, l.Sockets*5/12) }
 
-// backendConns is how many connections to backends may be open, idle ones among them.
+// backendConns returns how many connections to backends may be open, including idle ones.
 func (l Limits) backendConns() int { return max(1, l.Sockets*5/12) }
 
-// Config is the configuration of one instance.
+// Config is the configuration of one gateway.
 type Config struct {
 	Name        string
 	Listen      string
 	Discovery   string
 	Seed        uint64
 	Limits      Limits
-	SavedList   EndpointList // the backends as this instance last knew them
+	SavedList   EndpointList // the last list of backends that this gateway had received
 	Settings    gateway.Settings
 	Connections wire.Connections
 }
 
-// LoadConfig reads and validates the configuration file at path, which NODE_CONFIG names. Errors name the path.
+// LoadConfig reads and validates the configuration file at path, the value of NODE_CONFIG. Errors include the path.
 func LoadConfig(path string) (Config, error) {
 	if path == "" {
-		return Config{}, errors.New("NODE_CONFIG is not set")
+		return Config{}, errors.New("the environment variable NODE_CONFIG is not set")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Config{}, fmt.Errorf("configuration: %w", err)
+		return Config{}, fmt.Errorf("read the configuration: %w", err)
 	}
-	c, err := parseConfig(text)
+	config, err := parseConfig(text)
 	if err != nil {
-		return Config{}, fmt.Errorf("configuration %s: %w", path, err)
+		return Config{}, fmt.Errorf("invalid configuration %s: %w", path, err)
 	}
-	return c, nil
+	return config, nil
 }
 
+// parseConfig parses and validates the text of a configuration file.
 func parseConfig(text []byte) (Config, error) {
 	var file struct {
 		Name      string          `json:"name"`
@@ -75,28 +76,28 @@
 		return Config{}, err
 	}
 	if file.Listen == "" || file.Discovery == "" {
-		return Config{}, errors.New("no listen or no discovery address")
+		return Config{}, errors.New(`"listen" or "discovery" is missing`)
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return Config{}, fmt.Errorf("seed: %w", err)
+		return Config{}, fmt.Errorf(`"seed" is not a 64-bit hexadecimal number: %w`, err)
 	}
 	if l := file.Limits; l.Cores <= 0 || l.MemoryMB <= 0 || l.Sockets <= 0 {
-		return Config{}, fmt.Errorf("limits %+v are not all above 0", l)
+		return Config{}, fmt.Errorf(`"limits" must all be above 0, but are %+v`, l)
 	}
 	if len(file.Settings) == 0 {
-		return Config{}, errors.New("no settings")
+		return Config{}, errors.New(`"settings" is missing`)
 	}
-	settings, conns, err := wire.DecodeSettings(file.Settings)
+	settings, connections, err := wire.DecodeSettings(file.Settings)
 	if err != nil {
 		return Config{}, err
 	}
 	if err := settings.Validate(); err != nil {
 		return Config{}, err
 	}
-	if conns.Idle <= 0 || conns.Connect <= 0 {
-		return Config{}, errors.New("settings without the time-outs of connections")
+	if connections.Idle <= 0 || connections.Connect <= 0 {
+		return Config{}, errors.New(`"conn_idle_us" and "connect_timeout_us" in the settings must be above 0`)
 	}
 	return Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Seed: seed,
-		Limits: file.Limits, SavedList: file.Known, Settings: settings, Connections: conns}, nil
+		Limits: file.Limits, SavedList: file.Known, Settings: settings, Connections: connections}, nil
 }
--- a/internal/frontdoor/conns.go
+++ b/internal/frontdoor/conns.go
@@ -12,37 +12,37 @@
 	"time"
 )
 
-// clientListener accepts connections that track whether a request has begun on them. The server regards a connection as
-// idle until it has read a whole head, and a head may arrive in pieces.
+// clientListener accepts connections that record whether a request has begun on them. The HTTP server considers a
+// connection idle until it has read a complete head, but a head may arrive in pieces.
 type clientListener struct {
 	net.Listener
-	draining atomic.Bool // finish has been called
+	draining atomic.Bool // stopAccepting has been called
 }
 
-// settleTime is how long the backlog must stay empty at the end before the listener is closed.
-const settleTime = time.Millisecond
+// backlogSettleTime is how long the backlog must remain empty during shutdown before the listener is closed.
+const backlogSettleTime = time.Millisecond
 
-// Accept returns the next connection. After stopAccepting it first returns those in the kernel's backlog, as closing
-// the listener would reset them and lose their requests, and then net.ErrClosed.
+// Accept returns the next connection. After stopAccepting it returns the connections in the kernel's backlog, as
+// closing the listener would reset them and lose their requests, and then net.ErrClosed.
 func (l *clientListener) Accept() (net.Conn, error) {
 	for settling := false; ; {
-		c, err := l.Listener.Accept()
-		switch ne, ok := err.(net.Error); {
+		conn, err := l.Listener.Accept()
+		switch netErr, ok := err.(net.Error); {
 		case err == nil:
-			return &clientConn{Conn: c, acceptedAt: time.Now()}, nil
-		case !ok || !ne.Timeout() || !l.draining.Load():
+			return &clientConn{Conn: conn, acceptedAt: time.Now()}, nil
+		case !ok || !netErr.Timeout() || !l.draining.Load():
 			return nil, err
-		case settling: // the backlog has stayed empty since the last look
+		case settling: // the backlog has been empty for backlogSettleTime
 			return nil, errors.Join(net.ErrClosed, l.Close())
 		}
 		settling = true
-		if err := l.setDeadline(time.Now().Add(settleTime)); err != nil {
+		if err := l.setDeadline(time.Now().Add(backlogSettleTime)); err != nil {
 			return nil, errors.Join(err, l.Close())
 		}
 	}
 }
 
-// stopAccepting makes Accept end as soon as the backlog is empty.
+// stopAccepting makes Accept fail with net.ErrClosed as soon as the backlog is empty.
 func (l *clientListener) stopAccepting() error {
 	l.draining.Store(true)
 	return l.setDeadline(time.Now())
@@ -55,31 +55,31 @@
 	return l.Close()
 }
 
-// maxReadAhead is how many bytes a client may send while its request is open. Clients send one request at a time; bytes
-// ahead are buffered only so that a disconnection behind them is noticed.
+// maxReadAhead is how many bytes a client may send while its request is in progress. Clients don't pipeline requests;
+// bytes after a request are buffered only to detect a disconnection that follows them.
 const maxReadAhead = 16 << 10
 
-// watchBufferSize is how many bytes awaitDisconnect reads at once.
-const watchBufferSize = 512
+// disconnectBufferSize is how many bytes awaitDisconnect reads at once.
+const disconnectBufferSize = 512
 
-var errReadAheadFull = errors.New("too much was sent ahead of a response")
+var errReadAheadFull = errors.New("the client sent too much data before the response to its request")
 
-// clientConn is a client's connection. While a request is open on it, the server detects a disconnection by a read of
-// one byte, and any byte that arrives ends that read: it would never notice that a client that has sent more
-// disconnects. So such bytes are buffered here, and the read goes on.
+// clientConn is a client's connection. While a request is in progress, the HTTP server detects a disconnection by a
+// read of one byte, which ends with any byte that arrives: if the client has sent more data and then disconnects, the
+// server doesn't notice. So clientConn buffers such data and continues to read.
 type clientConn struct {
 	net.Conn
-	requestBegun atomic.Bool // something has been read since the connection was new or idle
-	acceptedAt   time.Time   // zero once a request has been answered; guarded by connTable.mu
+	requestBegun atomic.Bool // data has been read since the connection became new or idle
+	acceptedAt   time.Time   // zero after the first response; guarded by connTable.mu
 
-	// Used by the server, which reads in one goroutine at a time.
-	requestOpen bool   // a request is open
-	readAhead   []byte // bytes received behind that request
+	// Used by the HTTP server, which reads in one goroutine at a time.
+	requestInProgress bool
+	readAhead         []byte // received after the request in progress
 }
 
 func (c *clientConn) Read(p []byte) (int, error) {
 	switch {
-	case c.requestOpen && len(p) == 1:
+	case c.requestInProgress && len(p) == 1:
 		return 0, c.awaitDisconnect()
 	case len(c.readAhead) > 0:
 		n := copy(p, c.readAhead)
@@ -87,8 +87,9 @@
 		return n, nil
 	}
 	n, err := c.Conn.Read(p)
-	if ne, ok := err.(net.Error); ok && ne.Timeout() && !c.requestBegun.Load() && peekSocket(c.Conn) == dataAvailable {
-		// A request has arrived at the same moment as the idle time-out.
+	if netErr, ok := err.(net.Error); ok && netErr.Timeout() && !c.requestBegun.Load() &&
+		peekSocket(c.Conn) == dataAvailable {
+		// A request has arrived at the moment of the idle timeout.
 		if err := c.SetReadDeadline(time.Now().Add(headTimeout)); err != nil {
 			return 0, err
 		}
@@ -100,16 +101,16 @@
 	return n, err
 }
 
-// awaitDisconnect reads until the client disconnects, or until the server ends the wait by a deadline.
+// awaitDisconnect reads until the client disconnects, or until the HTTP server ends the read by a deadline.
 func (c *clientConn) awaitDisconnect() error {
 	for {
-		var buf [watchBufferSize]byte
+		var buf [disconnectBufferSize]byte
 		n, err := c.Conn.Read(buf[:])
 		c.readAhead = append(c.readAhead, buf[:n]...)
 		if err == nil && len(c.readAhead) > maxReadAhead {
 			err = errReadAheadFull
 		}
-		if ne, ok := err.(net.Error); ok && ne.Timeout() {
+		if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
 			return err
 		}
 		if err != nil {
@@ -119,22 +120,23 @@
 	}
 }
 
-// SyscallConn gives peekSocket the connection below.
+// SyscallConn implements syscall.Conn, which peekSocket needs.
 func (c *clientConn) SyscallConn() (syscall.RawConn, error) {
-	sc, ok := c.Conn.(syscall.Conn)
+	syscallConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return nil, syscall.ENOTSUP
 	}
-	return sc.SyscallConn()
+	return syscallConn.SyscallConn()
 }
 
-// connTable bounds the number of clients' connections. Above the limit the one that has been idle longest is closed,
-// whether between requests or before its first. A connection with an open request is never closed.
+// connTable limits the number of clients' connections. Above the limit, the connection that has been idle for longest
+// is closed, whether it is idle between requests or before its first. A connection with a request in progress is never
+// closed.
 type connTable struct {
 	maxOpen int
 
 	mu   sync.Mutex
-	open map[net.Conn]*list.Element // nil while a request is open
+	open map[net.Conn]*list.Element // element in idle; nil while a request is in progress
 	idle *list.List                 // of net.Conn, the longest idle first
 }
 
@@ -142,78 +144,79 @@
 	return &connTable{maxOpen: maxOpen, open: map[net.Conn]*list.Element{}, idle: list.New()}
 }
 
-// connStateChanged is the server's ConnState hook. It is called for a new connection before that is served.
-func (t *connTable) connStateChanged(c net.Conn, state http.ConnState) {
+// connStateChanged is the HTTP server's ConnState hook, which is called for a new connection before that is served.
+func (t *connTable) connStateChanged(conn net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e := t.open[c]; e != nil {
-		t.idle.Remove(e)
+	if element := t.open[conn]; element != nil {
+		t.idle.Remove(element)
 	}
-	cc, ok := c.(*clientConn)
+	client, ok := conn.(*clientConn)
 	switch state {
 	case http.StateNew, http.StateIdle:
 		if ok && state == http.StateIdle {
-			cc.requestOpen, cc.acceptedAt = false, time.Time{}
-			cc.requestBegun.Store(len(cc.readAhead) > 0) // all else that was read is answered
+			client.requestInProgress, client.acceptedAt = false, time.Time{}
+			client.requestBegun.Store(len(client.readAhead) > 0) // the rest has been answered
 		}
-		t.open[c] = t.idle.PushBack(c)
+		t.open[conn] = t.idle.PushBack(conn)
 	case http.StateActive:
 		if ok {
-			cc.requestOpen = true
+			client.requestInProgress = true
 		}
-		t.open[c] = nil
+		t.open[conn] = nil
 	default:
-		delete(t.open, c)
+		delete(t.open, conn)
 	}
 	if state == http.StateNew && len(t.open) > t.maxOpen {
 		t.mu.Unlock()
-		runtime.Gosched() // lets the data on connections accepted just now be read first
+		runtime.Gosched() // so that data on connections that have just been accepted is read first
 		t.mu.Lock()
 		t.closeExcess()
 	}
 }
 
-// closeExcess closes the longest idle connections down to the limit. One on which data has arrived since its last
-// response, read or not, is spared if there is another: closing it would lose the request that has begun.
+// closeExcess closes the longest idle connections beyond the limit. If possible it doesn't choose connections on which
+// data has arrived since the last response, read or not: closing these would lose the request that has begun.
 func (t *connTable) closeExcess() {
-	for over := len(t.open) - t.maxOpen; over > 0 && t.idle.Len() > 0; over-- {
-		e := t.idle.Front()
-		for e.Next() != nil && hasPendingRequest(e.Value.(net.Conn)) {
-			e = e.Next()
+	for excess := len(t.open) - t.maxOpen; excess > 0 && t.idle.Len() > 0; excess-- {
+		element := t.idle.Front()
+		for element.Next() != nil && hasRequestData(element.Value.(net.Conn)) {
+			element = element.Next()
 		}
-		c := t.idle.Remove(e).(net.Conn)
-		delete(t.open, c)
-		c.Close()
+		conn := t.idle.Remove(element).(net.Conn)
+		delete(t.open, conn)
+		conn.Close()
 	}
 }
 
-// closeIdle closes the connections on which nothing has arrived since their last response, and new ones that have been
-// silent for the given time. It returns how many remain.
-func (t *connTable) closeIdle(silent time.Duration) int {
+// closeIdle closes the connections on which no data has arrived since their last response, and those that have received
+// no data at all for at least minSilence since they were accepted. It returns the number of connections that remain.
+func (t *connTable) closeIdle(minSilence time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var after *list.Element
-	for e := t.idle.Front(); e != nil; e = after {
-		after = e.Next()
-		c := e.Value.(net.Conn)
-		if cc, ok := c.(*clientConn); hasPendingRequest(c) || ok && !cc.acceptedAt.IsZero() && time.Since(cc.acceptedAt) < silent {
+	var next *list.Element
+	for element := t.idle.Front(); element != nil; element = next {
+		next = element.Next()
+		conn := element.Value.(net.Conn)
+		if client, ok := conn.(*clientConn); hasRequestData(conn) ||
+			ok && !client.acceptedAt.IsZero() && time.Since(client.acceptedAt) < minSilence {
 			continue
 		}
-		t.idle.Remove(e)
-		delete(t.open, c)
-		c.Close()
+		t.idle.Remove(element)
+		delete(t.open, conn)
+		conn.Close()
 	}
 	return len(t.open)
 }
 
-// hasPendingRequest reports whether a part of a request has arrived on a connection that counts as idle.
-func hasPendingRequest(c net.Conn) bool {
-	seen := peekSocket(c) // before requestBegun, as the data it sees may be read right after
-	cc, ok := c.(*clientConn)
-	return seen == dataAvailable || ok && cc.requestBegun.Load()
+// hasRequestData reports whether a part of a request has arrived on a connection that the HTTP server considers idle.
+func hasRequestData(conn net.Conn) bool {
+	state := peekSocket(conn) // before loading requestBegun, since the server may read the data in between
+	client, ok := conn.(*clientConn)
+	return state == dataAvailable || ok && client.requestBegun.Load()
 }
 
-// socketState is the state of a connection as seen without reading from it.
+// socketState is the state of a connection as determined without reading from it.
 type socketState uint8
 
 const (
@@ -223,27 +226,27 @@
 )
 
 // peekSocket returns the state of a connection, without blocking.
-func peekSocket(c net.Conn) socketState {
-	sc, ok := c.(syscall.Conn)
+func peekSocket(conn net.Conn) socketState {
+	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return peerClosed
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return peerClosed
 	}
-	seen := peerClosed
+	state := peerClosed
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		switch n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); {
 		case n > 0:
-			seen = dataAvailable
+			state = dataAvailable
 		case err == syscall.EAGAIN || err == syscall.EINTR:
-			seen = noData
+			state = noData
 		}
 	})
 	if err != nil {
 		return peerClosed
 	}
-	return seen
+	return state
 }
--- a/internal/frontdoor/conns_test.go
+++ b/internal/frontdoor/conns_test.go
@@ -41,7 +41,7 @@
 }
 
 // startSmall starts an instance that lets clients have five connections.
-func startSmall(t *testing.T, g decider) (*testInstance, *Clients) {
+func startSmall(t *testing.T, g eventHandler) (*testInstance, *Server) {
 	t.Helper()
 	c := config(t)
 	c.Limits.Sockets = 12
@@ -52,7 +52,7 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
-	clients := NewClients(c, l)
+	clients := NewServer(c, l)
 	go clients.Run(ctx, ln)
 	return &testInstance{addr: ln.Addr().String(), loop: l}, clients
 }
@@ -69,11 +69,11 @@
 	}
 	id := next[gateway.Request](t, g).ID
 	dialAll(t, d.addr, 20)
-	clients.conns.mu.Lock()
-	if n := len(clients.conns.open); n > 6 { // one may just have come
+	clients.connections.mu.Lock()
+	if n := len(clients.connections.open); n > 6 { // one may just have come
 		t.Errorf("%d connections are open, 5 may be", n)
 	}
-	clients.conns.mu.Unlock()
+	clients.connections.mu.Unlock()
 	d.loop.mu.Lock()
 	d.loop.execute(gateway.Fail{Request: id})
 	d.loop.mu.Unlock()
@@ -111,9 +111,9 @@
 				answered()
 			}
 			quiet := func(begun bool) bool { // the connection counts as silent, with or without something read
-				clients.conns.mu.Lock()
-				defer clients.conns.mu.Unlock()
-				e := clients.conns.idle.Front()
+				clients.connections.mu.Lock()
+				defer clients.connections.mu.Unlock()
+				e := clients.connections.idle.Front()
 				return e != nil && e.Value.(*clientConn).requestBegun.Load() == begun
 			}
 			for _, piece := range []bool{false, true} {
--- a/internal/frontdoor/crossing_test.go
+++ b/internal/frontdoor/crossing_test.go
@@ -217,7 +217,7 @@
 		t.Fatal(err)
 	}
 	loop.Update(ready(raw(t, func(_ int, conn net.Conn) { io.WriteString(conn, okReply) })))
-	clients := NewClients(c, loop)
+	clients := NewServer(c, loop)
 	past := time.Now().Add(-time.Second)
 	clients.killTime.Store(&past)
 	server := httptest.NewServer(clients)
--- a/internal/frontdoor/discovery_test.go
+++ b/internal/frontdoor/discovery_test.go
@@ -92,7 +92,7 @@
 	if first.Kind != gateway.ListFull || len(first.Backends) != 3 {
 		t.Fatalf("%+v", first)
 	}
-	if s := first.Backends[1].Started; s < origin-time.Hour-time.Second || s > origin-time.Hour+time.Second {
+	if s := first.Backends[1].Started; s < clockOffset-time.Hour-time.Second || s > clockOffset-time.Hour+time.Second {
 		t.Errorf("a start an hour ago is at %v, and now is %v", s, k.now())
 	}
 	if a, b := first.Backends[0].Started, first.Backends[2].Started; a != 0 || b != 0 {
--- a/internal/frontdoor/frontdoor_test.go
+++ b/internal/frontdoor/frontdoor_test.go
@@ -57,7 +57,7 @@
 	done chan error
 }
 
-func startInstance(t testing.TB, decisions decider, addrs ...string) *testInstance {
+func startInstance(t testing.TB, decisions eventHandler, addrs ...string) *testInstance {
 	t.Helper()
 	c := config(t)
 	backends := NewBackends(c)
@@ -75,7 +75,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	d := &testInstance{addr: ln.Addr().String(), loop: loop, stop: stop, done: make(chan error, 1)}
-	go func() { d.done <- NewClients(c, loop).Run(ctx, ln) }()
+	go func() { d.done <- NewServer(c, loop).Run(ctx, ln) }()
 	t.Cleanup(stop)
 	return d
 }
@@ -205,7 +205,7 @@
 }
 
 // serveInstance starts an instance on a listener of the test's.
-func serveInstance(t *testing.T, decisions decider, ln net.Listener, addrs ...string) *testInstance {
+func serveInstance(t *testing.T, decisions eventHandler, ln net.Listener, addrs ...string) *testInstance {
 	t.Helper()
 	c := config(t)
 	backends := NewBackends(c)
@@ -213,7 +213,7 @@
 	loop.Update(ready(addrs...))
 	ctx, stop := context.WithCancel(context.Background())
 	d := &testInstance{addr: ln.Addr().String(), loop: loop, stop: stop, done: make(chan error, 1)}
-	go func() { d.done <- NewClients(c, loop).Run(ctx, ln) }()
+	go func() { d.done <- NewServer(c, loop).Run(ctx, ln) }()
 	t.Cleanup(stop)
 	return d
 }
--- a/internal/frontdoor/fuzz_test.go
+++ b/internal/frontdoor/fuzz_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	clients := NewClients(c, nil)
+	clients := NewServer(c, nil)
 	f.Fuzz(func(t *testing.T, text string) {
 		var r gateway.Request
 		if clients.parseTerms(text, &r) != nil {
@@ -50,15 +50,15 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	clients := NewClients(c, nil)
+	clients := NewServer(c, nil)
 	f.Fuzz(func(t *testing.T, text string) {
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
 			return
 		}
 		parsed, err := clients.parse(r)
-		req, msg, timeout := parsed.req, parsed.msg, parsed.timeout
-		if err == nil && (timeout <= 0 || req.Customer >= maxCustomer || msg.header.Get("Request-Id") == "") {
+		req, msg, timeout := parsed.req, parsed.forwarded, parsed.timeout
+		if err == nil && (timeout <= 0 || req.Customer >= customerLimit || msg.header.Get("Request-Id") == "") {
 			t.Errorf("%q was taken as %+v %+v, timeout %v", text, req, msg, timeout)
 		}
 	})
@@ -80,10 +80,10 @@
 			far.Close()
 		}()
 		c := &pooledConn{Conn: near, endpoint: &endpointPool{}}
-		c.limit.r = near
-		c.r = bufio.NewReaderSize(&c.limit, 2<<10)
-		r := &reply{result: gateway.NotSent}
-		_, err := b.read(context.Background(), c, &message{method: http.MethodGet}, r)
+		c.limited.source = near
+		c.reader = bufio.NewReaderSize(&c.limited, 2<<10)
+		r := &attemptOutcome{result: gateway.NotSent}
+		_, err := b.readResponse(context.Background(), c, &forwardedRequest{method: http.MethodGet}, r)
 		if err != nil && r.result != gateway.NotSent || len(r.body) > maxBody || r.hasUsage && !(r.usage >= 0 && r.usage <= maxUsagePercent) {
 			t.Errorf("%q was read as %+v, %v", text, r, err)
 		}
--- a/internal/frontdoor/lease_test.go
+++ b/internal/frontdoor/lease_test.go
@@ -14,19 +14,19 @@
 // at once.
 func TestReadyWithTheFirstList(t *testing.T) {
 	c := config(t)
-	if !NewClients(c, mustLoop(t, c)).ready() {
+	if !NewServer(c, mustLoop(t, c)).ready() {
 		t.Error("not ready where lists are pushed")
 	}
 	c.Settings.AskForList = true
 	c.SavedList = ready("127.0.0.1:7")
 	loop := mustLoop(t, c)
-	clients := NewClients(c, loop)
+	clients := NewServer(c, loop)
 	if clients.ready() {
 		t.Error("ready without a list")
 	}
 	patience := time.Second
 	ask := func(id gateway.RequestID) finalResponse {
-		msg := &message{method: http.MethodGet, target: "/look", host: "origin.svc", header: http.Header{}}
+		msg := &forwardedRequest{method: http.MethodGet, target: "/look", host: "origin.svc", header: http.Header{}}
 		a, err := loop.Serve(t.Context(), gateway.Request{ID: id, Customer: 1, Class: "look", Plan: "basic", Units: 1,
 			Patience: patience, Spread: 2}, msg)
 		if err != nil {
--- a/internal/frontdoor/lists.go
+++ b/internal/frontdoor/lists.go
@@ -14,7 +14,7 @@
 const (
 	maxListBytes   = 4 << 20  // bytes of a list outside its entries, including empty lines before it
 	maxEntryBytes  = 64 << 10 // bytes of one entry, including what is read ahead after it
-	maxEndpoints   = 150_000  // entries of one list; three times as many as planned for
+	maxEndpoints   = 150_000  // entries of one list; three times the planned number of backends
 	listBufferSize = 16 << 10 // bytes
 )
 
@@ -32,7 +32,7 @@
 }
 
 func newListReader(response io.Reader) *listReader {
-	limited := &limitedReader{r: bufio.NewReaderSize(response, listBufferSize)}
+	limited := &limitedReader{source: bufio.NewReaderSize(response, listBufferSize)}
 	return &listReader{limited: limited, decoder: json.NewDecoder(limited)}
 }
 
--- a/internal/frontdoor/loop.go
+++ b/internal/frontdoor/loop.go
@@ -12,31 +12,31 @@
 	"herontiller/internal/gateway"
 )
 
-// origin is how far before this process's start the gateway's clock begins, so that a backend that started before this
-// process still has a start above 0. One that started even earlier counts as started long ago (0).
-const origin = 24 * time.Hour
+// clockOffset is the reading of the gateway's clock when this process starts. It is above 0 so that a backend that
+// started up to this long before the process has a start time above 0. Earlier starts become 0, which means long ago.
+const clockOffset = 24 * time.Hour
 
-// clock gives the gateway its time: the duration since origin, by the monotonic clock.
+// clock is the gateway's clock. It is monotonic and shows clockOffset at start.
 type clock struct{ start time.Time }
 
-func (c clock) now() time.Duration { return origin + time.Since(c.start) }
+func (c clock) now() time.Duration { return clockOffset + time.Since(c.start) }
 
-// unixMilli converts a Unix time in milliseconds to the gateway's clock; 0 stays "long ago".
+// unixMilli converts a Unix time in milliseconds to the gateway's clock; 0, which means long ago, remains 0.
 func (c clock) unixMilli(ms int64) time.Duration {
 	if ms == 0 {
 		return 0
 	}
-	return max(0, origin+time.UnixMilli(ms).Sub(c.start))
+	return max(0, clockOffset+time.UnixMilli(ms).Sub(c.start))
 }
 
-// errDuplicateID rejects a request whose id is that of one still open.
-var errDuplicateID = errors.New("a request with this id is open")
+// errDuplicateRequestID rejects a request with the ID of another one that is still in progress.
+var errDuplicateRequestID = errors.New("a request with this id is open")
 
-// finalResponse is the one final response to a request.
+// finalResponse is the response that a client receives to its request.
 type finalResponse struct {
 	kind       responseKind
-	retryAfter time.Duration // of a rejection; 0: none is stated
-	reply      *reply        // of a served request
+	retryAfter time.Duration   // when rejected: the value of Retry-After; 0: no such header
+	outcome    *attemptOutcome // when served: the attempt whose response is returned
 }
 
 type responseKind uint8
@@ -47,80 +47,82 @@
 	failed
 )
 
-// openRequest is a request that the gateway knows of. It stays in the table until it has its final response and all of
-// its attempts have ended.
-type openRequest struct {
-	id           gateway.RequestID
-	msg          *message
-	deadline     time.Time          // of its attempts
-	response     chan finalResponse // receives the final response, unless the caller gives up first
-	ended        bool
-	attempts     []attempt
-	attemptsOpen int // number of attempts that have not ended
+// pendingRequest is a request that was passed to the gateway. It stays in Loop.requests until it has its final response
+// and all of its attempts have ended.
+type pendingRequest struct {
+	id               gateway.RequestID
+	forwarded        *forwardedRequest
+	deadline         time.Time          // for all attempts
+	response         chan finalResponse // receives the final response, unless the client disconnects first
+	ended            bool               // it has its final response, or its client has disconnected
+	attempts         []attempt
+	attemptsInFlight int
 }
 
-// attempt holds the ways to end an open attempt: cancelUnsent ends one whose request is not written whole yet, cancel
-// one in any state.
-type attempt struct{ cancelUnsent, cancel context.CancelFunc }
+// attempt holds the functions that cancel an attempt in flight: cancelWrite cancels it unless its request has been
+// written completely, cancel does so in any state.
+type attempt struct{ cancelWrite, cancel context.CancelFunc }
 
-// markEnded marks a request as ended. Attempts that have not been sent by now never are; those that have been go on or
-// are cancelled as the settings allow.
-func (c *openRequest) markEnded() {
-	c.ended = true
-	for _, a := range c.attempts {
-		a.cancelUnsent()
+// markEnded marks a request as ended and cancels the attempts that have not been sent yet. It is up to the gateway
+// whether those that have been sent are cancelled.
+func (p *pendingRequest) markEnded() {
+	p.ended = true
+	for _, a := range p.attempts {
+		a.cancelWrite()
 	}
 }
 
-// decider is what the loop needs of the gateway.
-type decider interface {
-	Handle(now time.Duration, ev gateway.Event, actions []gateway.Action) []gateway.Action
+// eventHandler is the part of gateway.Gateway that Loop uses.
+type eventHandler interface {
+	Handle(now time.Duration, event gateway.Event, actions []gateway.Action) []gateway.Action
 }
 
-// Loop owns the gateway. Under one lock it passes on events one after another and executes the resulting actions in
-// order. Nothing that it does under the lock waits for I/O.
+// Loop owns the gateway. It passes events to it one at a time, under a lock, and executes the resulting actions in
+// order. It doesn't wait for I/O while it holds the lock.
 type Loop struct {
 	clock    clock
 	backends *Backends
-	hasList  atomic.Bool // a list has been received since this process started
+	hasList  atomic.Bool // discovery has sent a list since this process started
 
 	mu       sync.Mutex
-	closed   bool // events are dropped
-	gateway  decider
-	requests map[gateway.RequestID]*openRequest
-	events   []gateway.Event  // not handled yet; executing an action may append one
-	actions  []gateway.Action // reused for its memory
+	closed   bool // timers and probe results are dropped
+	gateway  eventHandler
+	requests map[gateway.RequestID]*pendingRequest
+	events   []gateway.Event  // events to handle; executing an action may append one
+	actions  []gateway.Action // buffer reused between events
 }
 
-// leaseMargin bounds the time from discovery's write of a list to its handling here.
+// leaseMargin is an upper limit for the time from when discovery writes a list until it has been handled here.
 const leaseMargin = 250 * time.Millisecond
 
-// listLease is how long a list may be used after a service has confirmed it: an attempt decided at the lease's end must
-// have begun, on a new connection, before the staleness bound of what the service may have learned since. 0 means no
-// lease: pushed lists have none, since what the agent has counts as known at once.
-func listLease(c Config) time.Duration {
-	if !c.Settings.AskForList {
+// listLease returns how long a list may be used after a service has confirmed it. An attempt that the gateway starts at
+// the end of the lease, on a new connection, must begin before stalenessBound has passed since a change that the
+// service may have received right after its confirmation. The result is 0, which means no limit, for pushed lists: the
+// protocol expects a gateway to know immediately what its agent holds.
+func listLease(config Config) time.Duration {
+	if !config.Settings.AskForList {
 		return 0
 	}
-	return max(stalenessBound/2, stalenessBound-leaseMargin-c.Connections.Connect)
+	return max(stalenessBound/2, stalenessBound-leaseMargin-config.Connections.Connect)
 }
 
-// NewLoop starts a gateway that knows the backends of the configuration. Errors are those of gateway.New.
-func NewLoop(c Config, backends *Backends) (*Loop, error) {
-	k := clock{time.Now()}
-	settings := c.Settings
-	settings.ListLease = listLease(c)
-	decisions, err := gateway.New(settings, c.Seed, k.now())
+// NewLoop returns a Loop with a new gateway that has the saved list of the configuration. Errors are those of
+// gateway.New.
+func NewLoop(config Config, backends *Backends) (*Loop, error) {
+	clk := clock{time.Now()}
+	settings := config.Settings
+	settings.ListLease = listLease(config)
+	handler, err := gateway.New(settings, config.Seed, clk.now())
 	if err != nil {
 		return nil, err
 	}
-	l := newLoop(k, decisions, backends)
-	l.update(c.SavedList, gateway.ListSaved)
+	l := newLoop(clk, handler, backends)
+	l.update(config.SavedList, gateway.ListSaved)
 	return l, nil
 }
 
-func newLoop(k clock, decisions decider, backends *Backends) *Loop {
-	return &Loop{clock: k, gateway: decisions, backends: backends, requests: map[gateway.RequestID]*openRequest{}}
+func newLoop(clk clock, handler eventHandler, backends *Backends) *Loop {
+	return &Loop{clock: clk, gateway: handler, backends: backends, requests: map[gateway.RequestID]*pendingRequest{}}
 }
 
 // Update passes a list, or changes to it, from discovery to the gateway.
@@ -140,160 +142,170 @@
 	l.handle(gateway.BackendList{Kind: kind, Backends: l.backends.update(list, l.clock)})
 }
 
-// Serve passes a request to the gateway and waits for its final response. When ctx ends first, the request ends without
-// one: the gateway is notified that the client has disconnected, and the context's error is returned. errDuplicateID is
-// returned for a request whose id is open already.
-func (l *Loop) Serve(ctx context.Context, req gateway.Request, msg *message) (finalResponse, error) {
-	c := &openRequest{id: req.ID, msg: msg, deadline: time.Now().Add(req.Patience), response: make(chan finalResponse, 1)}
-	if err := l.begin(c, req); err != nil {
+// Serve passes a request to the gateway and returns its final response. If ctx ends first, the request ends without a
+// response: Serve notifies the gateway that the client has disconnected, and returns the context's error. If another
+// request with the same ID is in progress, Serve returns errDuplicateRequestID.
+func (l *Loop) Serve(ctx context.Context, req gateway.Request, forwarded *forwardedRequest) (finalResponse, error) {
+	pending := &pendingRequest{id: req.ID, forwarded: forwarded, deadline: time.Now().Add(req.Patience),
+		response: make(chan finalResponse, 1)}
+	if err := l.register(pending, req); err != nil {
 		return finalResponse{}, err
 	}
 	select {
-	case a := <-c.response:
-		return a, nil
+	case response := <-pending.response:
+		return response, nil
 	case <-ctx.Done():
-		if l.abandon(c) {
+		if l.abandon(pending) {
 			return finalResponse{}, ctx.Err()
 		}
-		return <-c.response, nil
+		return <-pending.response, nil
 	}
 }
 
-func (l *Loop) begin(c *openRequest, req gateway.Request) error {
+// register adds a request to Loop.requests and passes it to the gateway.
+func (l *Loop) register(pending *pendingRequest, req gateway.Request) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.requests[c.id] != nil {
-		return errDuplicateID
+	if l.requests[pending.id] != nil {
+		return errDuplicateRequestID
 	}
-	l.requests[c.id] = c
+	l.requests[pending.id] = pending
 	l.handle(req)
 	return nil
 }
 
-// abandon ends a request unless it has its final response, and reports whether it did.
-func (l *Loop) abandon(c *openRequest) bool {
+// abandon ends a request whose client has disconnected or timed out. It reports false if the request already has its
+// final response.
+func (l *Loop) abandon(pending *pendingRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.ended {
+	if pending.ended {
 		return false
 	}
-	c.markEnded()
-	l.handle(gateway.ClientGone{Request: c.id})
-	l.remove(c)
+	pending.markEnded()
+	l.handle(gateway.ClientGone{Request: pending.id})
+	l.removeIfDone(pending)
 	return true
 }
 
-// handle passes one event to the gateway, and then those that its actions led to. The caller holds the lock.
-func (l *Loop) handle(ev gateway.Event) {
-	l.events = append(l.events, ev)
+// handle passes an event to the gateway, followed by the events that result from its actions. The caller must hold the
+// lock.
+func (l *Loop) handle(event gateway.Event) {
+	l.events = append(l.events, event)
 	for i := 0; i < len(l.events); i++ {
 		l.actions = l.gateway.Handle(l.clock.now(), l.events[i], l.actions[:0])
-		for _, a := range l.actions {
-			l.execute(a)
+		for _, action := range l.actions {
+			l.execute(action)
 		}
 	}
 	l.events = l.events[:0]
 }
 
-func (l *Loop) execute(a gateway.Action) {
-	switch a := a.(type) {
+func (l *Loop) execute(action gateway.Action) {
+	switch action := action.(type) {
 	case gateway.Send:
-		l.send(a)
+		l.startAttempt(action)
 	case gateway.Reject:
-		l.finish(a.Request, finalResponse{kind: rejected, retryAfter: a.RetryAfter})
+		l.respond(action.Request, finalResponse{kind: rejected, retryAfter: action.RetryAfter})
 	case gateway.Fail:
-		l.finish(a.Request, finalResponse{kind: failed})
+		l.respond(action.Request, finalResponse{kind: failed})
 	case gateway.Cancel:
-		if c := l.requests[a.Request]; c != nil && a.Attempt < len(c.attempts) {
-			c.attempts[a.Attempt].cancel()
+		if pending := l.requests[action.Request]; pending != nil && action.Attempt < len(pending.attempts) {
+			pending.attempts[action.Attempt].cancel()
 		}
 	case gateway.SetTimer:
-		time.AfterFunc(a.After, func() { l.post(gateway.Timer{Token: a.Token}) })
+		time.AfterFunc(action.After, func() { l.post(gateway.Timer{Token: action.Token}) })
 	case gateway.Probe:
-		go func() { l.post(l.backends.probe(a.Backend)) }()
+		go func() { l.post(l.backends.probe(action.Backend)) }()
 	case gateway.Subscribe: // discovery is always watched
 	default:
-		slog.Error("the gateway returned an unknown action", "action", fmt.Sprintf("%T", a))
+		slog.Error("ignored an action of unknown type from the gateway", "type", fmt.Sprintf("%T", action))
 	}
 }
 
-func (l *Loop) post(ev gateway.Event) {
+// post passes an event to the gateway unless the loop is closed.
+func (l *Loop) post(event gateway.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.closed {
-		l.handle(ev)
+		l.handle(event)
 	}
 }
 
-// Close drops all later timers and probe results, so that an unused loop costs nothing. It ends no request.
+// Close makes the loop drop all later timers and probe results, so that it uses no CPU once it has no requests. It does
+// not end requests in progress.
 func (l *Loop) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
 }
 
-// send starts an attempt. One for a request that has ended is not sent, and reported as such.
-func (l *Loop) send(a gateway.Send) {
-	c := l.requests[a.Request]
-	if c == nil {
-		slog.Error("the gateway sent an unknown request", "request", a.Request)
+// startAttempt starts an attempt. If the request has already ended, it sends nothing and reports the attempt as not
+// sent.
+func (l *Loop) startAttempt(action gateway.Send) {
+	pending := l.requests[action.Request]
+	if pending == nil {
+		slog.Error("ignored an attempt for an unknown request from the gateway", "request", action.Request)
 		return
 	}
-	n := len(c.attempts)
-	if c.ended {
-		c.attempts = append(c.attempts, attempt{cancelUnsent: func() {}, cancel: func() {}})
-		l.events = append(l.events, gateway.Outcome{Request: c.id, Backend: a.Backend, Attempt: n, Result: gateway.NotSent,
-			Final: true})
+	index := len(pending.attempts)
+	if pending.ended {
+		pending.attempts = append(pending.attempts, attempt{cancelWrite: func() {}, cancel: func() {}})
+		l.events = append(l.events, gateway.Outcome{Request: pending.id, Backend: action.Backend, Attempt: index,
+			Result: gateway.NotSent, Final: true})
 		return
 	}
-	due := c.deadline
-	if a.Timeout > 0 {
-		if t := time.Now().Add(a.Timeout); t.Before(due) {
-			due = t
+	deadline := pending.deadline
+	if action.Timeout > 0 {
+		if t := time.Now().Add(action.Timeout); t.Before(deadline) {
+			deadline = t
 		}
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), due)
-	unsent, cancelUnsent := context.WithCancel(ctx)
-	if a.Within > 0 {
-		unsent, cancelUnsent = context.WithTimeout(ctx, a.Within)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
+	writeCtx, cancelWrite := context.WithCancel(ctx)
+	if action.Within > 0 {
+		writeCtx, cancelWrite = context.WithTimeout(ctx, action.Within)
 	}
-	c.attempts = append(c.attempts, attempt{cancelUnsent: cancelUnsent, cancel: cancel})
-	c.attemptsOpen++
+	pending.attempts = append(pending.attempts, attempt{cancelWrite: cancelWrite, cancel: cancel})
+	pending.attemptsInFlight++
 	sent := l.clock.now()
 	go func() {
-		defer cancel() // and with it unsent, its child
-		r := l.backends.send(ctx, unsent, a.Backend, c.msg)
-		l.outcome(c, r, gateway.Outcome{Request: c.id, Backend: a.Backend, Attempt: n, Result: r.result,
-			Took: l.clock.now() - sent, HasUse: r.hasUsage, Use: r.usage, Load: r.load})
+		defer cancel() // ends writeCtx as well, which is derived from ctx
+		outcome := l.backends.send(ctx, writeCtx, action.Backend, pending.forwarded)
+		l.endAttempt(pending, outcome, gateway.Outcome{Request: pending.id, Backend: action.Backend, Attempt: index,
+			Result: outcome.result, Took: l.clock.now() - sent, HasUse: outcome.hasUsage, Use: outcome.usage,
+			Load: outcome.load})
 	}()
 }
 
-// outcome ends an attempt and notifies the gateway. The first good response to a request goes to its client.
-func (l *Loop) outcome(c *openRequest, r *reply, ev gateway.Outcome) {
+// endAttempt records that an attempt has ended and notifies the gateway. The first successful response to a request
+// becomes its final response.
+func (l *Loop) endAttempt(pending *pendingRequest, outcome *attemptOutcome, event gateway.Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r.result == gateway.Answered {
-		l.finish(c.id, finalResponse{kind: served, reply: r})
+	if outcome.result == gateway.Answered {
+		l.respond(pending.id, finalResponse{kind: served, outcome: outcome})
 	}
-	ev.Final = c.ended
-	c.attemptsOpen--
-	l.handle(ev)
-	l.remove(c)
+	event.Final = pending.ended
+	pending.attemptsInFlight--
+	l.handle(event)
+	l.removeIfDone(pending)
 }
 
-// finish gives a request its final response. Only the first one counts.
-func (l *Loop) finish(id gateway.RequestID, a finalResponse) {
-	c := l.requests[id]
-	if c == nil || c.ended {
+// respond sets the final response to a request. It does nothing if the request already has one or has been abandoned.
+func (l *Loop) respond(id gateway.RequestID, response finalResponse) {
+	pending := l.requests[id]
+	if pending == nil || pending.ended {
 		return
 	}
-	c.markEnded()
-	c.response <- a
-	l.remove(c)
+	pending.markEnded()
+	pending.response <- response
+	l.removeIfDone(pending)
 }
 
-func (l *Loop) remove(c *openRequest) {
-	if c.ended && c.attemptsOpen == 0 && l.requests[c.id] == c {
-		delete(l.requests, c.id)
+// removeIfDone removes a request from Loop.requests once it has ended and has no attempts in flight.
+func (l *Loop) removeIfDone(pending *pendingRequest) {
+	if pending.ended && pending.attemptsInFlight == 0 && l.requests[pending.id] == pending {
+		delete(l.requests, pending.id)
 	}
 }
--- a/internal/frontdoor/pool.go
+++ b/internal/frontdoor/pool.go
@@ -12,79 +12,80 @@
 	"time"
 )
 
-// reuseCooldown is the quarantine of a connection after a response, before the next request may use it. A stray
-// second response may arrive some milliseconds behind the first and would be served as the next request's; any byte
-// that arrives within the cooldown marks the connection as unclean. The value is the tolerance that the protocol
-// adds to each of its time limits. An instance sends a backend a few requests a second, so it rarely finds all
-// connections in cooldown.
+// reuseCooldown is how long a connection must not be reused after a response. A second, unexpected response may arrive
+// some milliseconds after the first and would be read as the response to the next request; a connection on which data
+// arrives during the cooldown is closed. The value is the tolerance that the protocol adds to each of its time limits.
+// A gateway sends a backend only a few requests per second, so it rarely finds all connections in cooldown.
 const reuseCooldown = 50 * time.Millisecond
 
-var errPoolFull = errors.New("the limit of connections to backends is reached")
+var errPoolFull = errors.New("the limit of connections to backends is reached, and none is idle")
 
-// pool bounds the connections to all backends together and keeps idle ones for reuse. It never hands out a
-// connection on which data has arrived while it was idle, as that would be read as the next request's response.
+// pool limits the total number of connections to all backends and keeps idle ones for reuse. It never returns a
+// connection on which data has arrived while it was idle, as this data would be read as the response to the next
+// request.
 type pool struct {
 	dial    func(ctx context.Context, network, addr string) (net.Conn, error)
-	maxOpen int
-	maxIdle time.Duration
+	maxOpen int           // connections
+	maxIdle time.Duration // an idle connection is closed after this time
 
-	mu       sync.Mutex
-	open     int        // idle, in use or being established
-	idle     *list.List // of *pooledConn, over all endpoints, the longest idle first
-	sweeping bool
+	mu        sync.Mutex
+	openCount int        // idle, in use or being established
+	idleConns *list.List // of *pooledConn, of all endpoints, the longest idle first
+	sweeping  bool       // a call of sweep is scheduled
 }
 
-// endpointPool holds the idle connections to one process of a backend at one address. Another process or another
-// backend, even at the same address, has an endpointPool of its own.
+// endpointPool holds the idle connections to one process of a backend at one address. Each process and each backend has
+// its own endpointPool, even if they use the same address one after another.
 type endpointPool struct {
-	addr   string
-	idle   []*pooledConn // guarded by pool.mu, as closed is; the longest idle first
-	closed bool
+	addr      string
+	idleConns []*pooledConn // the longest idle first; guarded by pool.mu
+	closed    bool          // connections are closed instead of becoming idle; guarded by pool.mu
 }
 
 // pooledConn is a connection to a backend.
 type pooledConn struct {
 	net.Conn
-	endpoint  *endpointPool
-	limit     limitedReader
-	r         *bufio.Reader
-	idleSince time.Time     // when it became idle
-	elem      *list.Element // in pool.idle
-	hasServed bool          // a response has been read on it
+	endpoint    *endpointPool
+	limited     limitedReader
+	reader      *bufio.Reader
+	idleSince   time.Time     // when it became idle
+	idleElement *list.Element // element in pool.idleConns
+	hasServed   bool          // a response has been read from it
 }
 
 func newPool(dial func(ctx context.Context, network, addr string) (net.Conn, error), maxOpen int,
 	maxIdle time.Duration) *pool {
-	return &pool{dial: dial, maxOpen: maxOpen, maxIdle: maxIdle, idle: list.New()}
+	return &pool{dial: dial, maxOpen: maxOpen, maxIdle: maxIdle, idleConns: list.New()}
 }
 
-// get returns a clean connection to an endpoint: an idle one if there is one and fresh is not set, else a new one.
+// get returns an idle connection to an endpoint. If there is none, or if fresh is set, it returns a new one.
 func (p *pool) get(ctx context.Context, endpoint *endpointPool, fresh bool) (*pooledConn, error) {
-	c, err := p.reserve(endpoint, fresh)
+	c, err := p.takeIdle(endpoint, fresh)
 	if c != nil || err != nil {
 		return c, err
 	}
 	conn, err := p.dial(ctx, "tcp", endpoint.addr)
 	if err != nil {
 		p.mu.Lock()
-		p.open--
+		p.openCount--
 		p.mu.Unlock()
 		return nil, err
 	}
 	c = &pooledConn{Conn: conn, endpoint: endpoint}
-	c.limit.r = conn
-	c.r = bufio.NewReaderSize(&c.limit, 2<<10)
+	c.limited.source = conn
+	c.reader = bufio.NewReaderSize(&c.limited, 2<<10)
 	return c, nil
 }
 
-// reserve takes an idle connection. Where there is none it returns nil and counts a new one, which the caller must
-// open; at the limit it closes the longest idle connection for it, and fails with errPoolFull if none is idle.
-func (p *pool) reserve(endpoint *endpointPool, fresh bool) (*pooledConn, error) {
+// takeIdle returns an idle connection to an endpoint. If there is none, or if fresh is set, it returns nil and counts a
+// new connection, which the caller must open. At the limit it first closes the connection that has been idle for
+// longest, and fails with errPoolFull if none is idle.
+func (p *pool) takeIdle(endpoint *endpointPool, fresh bool) (*pooledConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	for i := len(endpoint.idle) - 1; i >= 0 && !fresh; i-- {
-		c := endpoint.idle[i]
+	for i := len(endpoint.idleConns) - 1; i >= 0 && !fresh; i-- {
+		c := endpoint.idleConns[i]
 		if now.Sub(c.idleSince) < reuseCooldown {
 			continue
 		}
@@ -94,29 +95,29 @@
 		}
 		p.closeLocked(c)
 	}
-	if p.open >= p.maxOpen {
-		if p.idle.Len() == 0 {
+	if p.openCount >= p.maxOpen {
+		if p.idleConns.Len() == 0 {
 			return nil, errPoolFull
 		}
-		c := p.idle.Front().Value.(*pooledConn)
+		c := p.idleConns.Front().Value.(*pooledConn)
 		p.removeIdle(c)
 		p.closeLocked(c)
 	}
-	p.open++
+	p.openCount++
 	return nil, nil
 }
 
-// put returns a connection whose response has been read whole. One that is not clean is closed.
+// put returns a connection to the pool after a complete response. If more data has arrived, it closes the connection.
 func (p *pool) put(c *pooledConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.endpoint.closed || c.r.Buffered() > 0 || peekSocket(c.Conn) != noData {
+	if c.endpoint.closed || c.reader.Buffered() > 0 || peekSocket(c.Conn) != noData {
 		p.closeLocked(c)
 		return
 	}
 	c.hasServed, c.idleSince = true, time.Now()
-	c.endpoint.idle = append(c.endpoint.idle, c)
-	c.elem = p.idle.PushBack(c)
+	c.endpoint.idleConns = append(c.endpoint.idleConns, c)
+	c.idleElement = p.idleConns.PushBack(c)
 	if !p.sweeping {
 		p.sweeping = true
 		time.AfterFunc(p.maxIdle, p.sweep)
@@ -130,24 +131,24 @@
 	p.closeLocked(c)
 }
 
-// closeEndpoint closes the idle connections of an endpoint now, and those in use when they are returned.
+// closeEndpoint closes the idle connections of an endpoint. Those in use are closed when they are returned.
 func (p *pool) closeEndpoint(endpoint *endpointPool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	endpoint.closed = true
-	for len(endpoint.idle) > 0 {
-		c := endpoint.idle[len(endpoint.idle)-1]
+	for len(endpoint.idleConns) > 0 {
+		c := endpoint.idleConns[len(endpoint.idleConns)-1]
 		p.removeIdle(c)
 		p.closeLocked(c)
 	}
 }
 
-// sweep closes the connections that have been idle for maxIdle, and schedules itself again while any is idle.
+// sweep closes the connections that have been idle for maxIdle, and schedules itself again if others are idle.
 func (p *pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for p.idle.Len() > 0 {
-		c := p.idle.Front().Value.(*pooledConn)
+	for p.idleConns.Len() > 0 {
+		c := p.idleConns.Front().Value.(*pooledConn)
 		if remaining := p.maxIdle - time.Since(c.idleSince); remaining > 0 {
 			time.AfterFunc(remaining, p.sweep)
 			return
@@ -158,31 +159,31 @@
 	p.sweeping = false
 }
 
-// removeIdle takes a connection off the idle lists. The caller holds the lock.
+// removeIdle removes a connection from the lists of idle connections. The caller must hold the lock.
 func (p *pool) removeIdle(c *pooledConn) {
-	p.idle.Remove(c.elem)
-	c.endpoint.idle = slices.DeleteFunc(c.endpoint.idle, func(o *pooledConn) bool { return o == c })
+	p.idleConns.Remove(c.idleElement)
+	c.endpoint.idleConns = slices.DeleteFunc(c.endpoint.idleConns, func(other *pooledConn) bool { return other == c })
 }
 
-// closeLocked closes a connection that is on no idle list. The caller holds the lock.
+// closeLocked closes a connection that is not idle. The caller must hold the lock.
 func (p *pool) closeLocked(c *pooledConn) {
 	c.Close()
-	p.open--
+	p.openCount--
 }
 
 var errTooLarge = errors.New("the response is larger than allowed")
 
-// limitedReader reads at most remaining bytes, and fails with errTooLarge beyond.
+// limitedReader reads at most remaining bytes, and then fails with errTooLarge.
 type limitedReader struct {
-	r         io.Reader
+	source    io.Reader
 	remaining int
 }
 
-func (b *limitedReader) Read(p []byte) (int, error) {
-	if b.remaining <= 0 {
+func (l *limitedReader) Read(p []byte) (int, error) {
+	if l.remaining <= 0 {
 		return 0, errTooLarge
 	}
-	n, err := b.r.Read(p[:min(len(p), b.remaining)])
-	b.remaining -= n
+	n, err := l.source.Read(p[:min(len(p), l.remaining)])
+	l.remaining -= n
 	return n, err
 }
--- a/internal/frontdoor/requests.go
+++ b/internal/frontdoor/requests.go
@@ -13,10 +13,10 @@
 	"herontiller/internal/gateway"
 )
 
-// maxCustomer is above every customer's number; the protocol's keys stay below it.
-const maxCustomer = 1 << 33
+// customerLimit is the exclusive upper limit of customer IDs; the protocol's keys are below it.
+const customerLimit = 1 << 33
 
-// Headers of a request.
+// Headers of a client's request.
 const (
 	headerRequestID      = "Request-Id"
 	headerClass          = "Request-Class"
@@ -27,45 +27,45 @@
 	headerIdempotencyKey = "Idempotency-Key"
 )
 
-// singleHeaders are the headers that a request may carry once at most.
+// singleHeaders are the headers that a request must not have more than once.
 var singleHeaders = []string{headerRequestID, headerClass, headerPlan, headerCustomer, headerTimeout, headerTerms,
 	headerIdempotencyKey}
 
-// forwardedHeaders are the headers that go on to the backend.
+// forwardedHeaders are the headers that are forwarded to the backend.
 var forwardedHeaders = []string{headerRequestID, headerIdempotencyKey, "Content-Type"}
 
 var (
 	errBodyTooLarge = errors.New("the body is over 64 KiB")
-	errTerms        = errors.New("terms that make no sense")
+	errInvalidTerms = errors.New("malformed, duplicate, missing or out-of-range field")
 )
 
-// badFieldError reports a part of a request's head that is malformed or not allowed.
+// badFieldError reports a part of a request's head that is malformed or not allowed. The client receives its text.
 type badFieldError struct {
-	field string // a header's name, or what else was read
+	field string // name of a header, or another part of the head
 	value string // as received
 }
 
 func (e *badFieldError) Error() string { return fmt.Sprintf("%s: %.40q", e.field, e.value) }
 
-// parsedRequest is a request's head in the gateway's form and as it goes on to a backend.
+// parsedRequest is a request's head, converted for the gateway and for the backend.
 type parsedRequest struct {
-	req     gateway.Request
-	msg     *message      // its body is still to be read
-	timeout time.Duration // from the request's arrival, no longer than its class allows
+	req       gateway.Request
+	forwarded *forwardedRequest // without the body until that has been read
+	timeout   time.Duration     // the client's timeout from the request's arrival, at most the class's deadline
 }
 
-// requestHead is a request's head with the headers that may be there once only; one that is missing is "".
+// requestHead is a request's head with the values of singleHeaders; the value of a missing header is "".
 type requestHead struct {
 	*http.Request
 	single map[string]string
 }
 
-// bad is the error about one of those headers.
-func (h requestHead) bad(name string) error { return &badFieldError{name, h.single[name]} }
+// invalid returns an error that reports the value of one of singleHeaders as invalid.
+func (h requestHead) invalid(name string) error { return &badFieldError{name, h.single[name]} }
 
-// parse reads all of a request but its body. What it lets through is safe to pass to the gateway. Errors are of
-// type *badFieldError.
-func (c *Clients) parse(r *http.Request) (parsedRequest, error) {
+// parse validates and converts all of a request except its body. Its result is safe to pass to the gateway. Errors are
+// of type *badFieldError.
+func (s *Server) parse(r *http.Request) (parsedRequest, error) {
 	if err := checkFraming(r); err != nil {
 		return parsedRequest{}, err
 	}
@@ -75,9 +75,9 @@
 	}
 	id, err := parseHex(head.single[headerRequestID])
 	if err != nil {
-		return parsedRequest{}, head.bad(headerRequestID)
+		return parsedRequest{}, head.invalid(headerRequestID)
 	}
-	class, err := c.parseClass(head)
+	class, err := s.parseClass(head)
 	if err != nil {
 		return parsedRequest{}, err
 	}
@@ -85,22 +85,23 @@
 		return parsedRequest{}, err
 	}
 	req := gateway.Request{ID: gateway.RequestID(id), Class: class.Name, Plan: head.single[headerPlan]}
-	if req.Customer, err = c.parseCustomer(head); err != nil {
+	if req.Customer, err = s.parseCustomer(head); err != nil {
 		return parsedRequest{}, err
 	}
 	timeout, err := parseTimeout(head, class)
 	if err != nil {
 		return parsedRequest{}, err
 	}
-	if err := c.parseTerms(head.single[headerTerms], &req); err != nil {
-		return parsedRequest{}, head.bad(headerTerms)
+	if err := s.parseTerms(head.single[headerTerms], &req); err != nil {
+		return parsedRequest{}, head.invalid(headerTerms)
 	}
-	return parsedRequest{req: req, msg: newMessage(r), timeout: timeout}, nil
+	return parsedRequest{req: req, forwarded: newForwardedRequest(r), timeout: timeout}, nil
 }
 
-// checkFraming refuses requests whose end could be read in two ways. The server drops a Content-Length next to a
-// Transfer-Encoding without a trace (in HTTP/1.0 the latter), and whoever goes by the other one finds a second request
-// in the body. Our clients state lengths and send HTTP/1.1.
+// checkFraming rejects requests whose end is ambiguous, which prevents request smuggling. If a request has both a
+// Content-Length and a Transfer-Encoding, the HTTP server silently drops the former (in HTTP/1.0 the latter), and a
+// recipient that uses the dropped header finds a second request in the body. Legitimate clients use HTTP/1.1 and state
+// a Content-Length.
 func checkFraming(r *http.Request) error {
 	if len(r.TransferEncoding) > 0 || r.ContentLength < 0 || r.ProtoMajor != 1 || r.ProtoMinor != 1 {
 		return &badFieldError{"framing", r.Proto + " " + strings.Join(r.TransferEncoding, ", ")}
@@ -108,26 +109,27 @@
 	return nil
 }
 
-// readHead reads the single headers. One that is there twice could be read in two ways, here and by the backend.
+// readHead reads singleHeaders. It rejects a duplicate header, as this gateway and the backend might use different
+// ones.
 func readHead(r *http.Request) (requestHead, error) {
 	head := requestHead{r, map[string]string{}}
 	for _, name := range singleHeaders {
-		switch v := r.Header[name]; len(v) {
+		switch values := r.Header[name]; len(values) {
 		case 0:
 		case 1:
-			head.single[name] = v[0]
+			head.single[name] = values[0]
 		default:
-			return head, &badFieldError{name, strings.Join(v, ", ")}
+			return head, &badFieldError{name, strings.Join(values, ", ")}
 		}
 	}
 	return head, nil
 }
 
-// parseClass reads the class, which the first element of the path must name as well.
-func (c *Clients) parseClass(head requestHead) (gateway.Class, error) {
-	class, ok := c.classes[head.single[headerClass]]
+// parseClass reads the class. The first element of the path must be its name, too.
+func (s *Server) parseClass(head requestHead) (gateway.Class, error) {
+	class, ok := s.classes[head.single[headerClass]]
 	if !ok {
-		return class, head.bad(headerClass)
+		return class, head.invalid(headerClass)
 	}
 	if first, _, _ := strings.Cut(strings.TrimPrefix(head.URL.Path, "/"), "/"); first != class.Name ||
 		!strings.HasPrefix(head.RequestURI, "/") {
@@ -136,7 +138,7 @@
 	return class, nil
 }
 
-// checkMethod checks that the method, the body and the idempotency key fit what a repetition of the class does.
+// checkMethod checks that the method, the body and the idempotency key are those that the effect of the class requires.
 func checkMethod(head requestHead, class gateway.Class) error {
 	method := http.MethodPost
 	if class.Effect == gateway.Safe {
@@ -149,77 +151,81 @@
 		return &badFieldError{"a GET with a body", head.RequestURI}
 	}
 	if class.Effect == gateway.Keyed && head.single[headerIdempotencyKey] == "" {
-		return head.bad(headerIdempotencyKey)
+		return head.invalid(headerIdempotencyKey)
 	}
 	return nil
 }
 
 // parseCustomer checks the plan and reads the customer's key.
-func (c *Clients) parseCustomer(head requestHead) (gateway.CustomerID, error) {
-	if !c.plans[head.single[headerPlan]] {
-		return 0, head.bad(headerPlan)
+func (s *Server) parseCustomer(head requestHead) (gateway.CustomerID, error) {
+	if !s.plans[head.single[headerPlan]] {
+		return 0, head.invalid(headerPlan)
 	}
 	customer, err := parseHex(head.single[headerCustomer])
-	if err != nil || customer >= maxCustomer {
-		return 0, head.bad(headerCustomer)
+	if err != nil || customer >= customerLimit {
+		return 0, head.invalid(headerCustomer)
 	}
 	return gateway.CustomerID(customer), nil
 }
 
-// parseTimeout reads how long the client waits, in seconds on the wire; more than the class's deadline is cut to that.
+// parseTimeout reads the client's timeout, which the header has in seconds, and limits it to the class's deadline.
 func parseTimeout(head requestHead, class gateway.Class) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(head.single[headerTimeout], 64)
 	if err != nil || !(seconds > 0) || math.IsInf(seconds, 0) {
-		return 0, head.bad(headerTimeout)
+		return 0, head.invalid(headerTimeout)
 	}
 	return time.Duration(min(seconds, class.Deadline.Seconds()) * float64(time.Second)), nil
 }
 
-// newMessage is what goes on to a backend, without the body.
-func newMessage(r *http.Request) *message {
-	msg := &message{method: r.Method, target: r.RequestURI, host: r.Host, header: http.Header{"User-Agent": {""}}}
+// newForwardedRequest returns the request to a backend for a client's request, without the body.
+func newForwardedRequest(r *http.Request) *forwardedRequest {
+	forwarded := &forwardedRequest{method: r.Method, target: r.RequestURI, host: r.Host,
+		header: http.Header{"User-Agent": {""}}}
 	for _, name := range forwardedHeaders {
-		if v, ok := r.Header[name]; ok {
-			msg.header[name] = v
+		if values, ok := r.Header[name]; ok {
+			forwarded.header[name] = values
 		}
 	}
-	return msg
+	return forwarded
 }
 
-// parseTerms reads "units=2,spread=3,first=1" into req; each must be there once, and in range. Units are the request's
-// cost, spread the number of instances that its customer's requests go to, first the number of the first of these.
-func (c *Clients) parseTerms(text string, req *gateway.Request) error {
-	var units, spread, first bool
-	for field := range strings.SplitSeq(text, ",") {
+// parseTerms reads terms such as "units=2,spread=3,first=1" into req. Each of the three must be present once and in
+// range. units is the request's cost, spread is the number of gateways that receive this customer's requests, and first
+// is the index of the first of these gateways.
+func (s *Server) parseTerms(terms string, req *gateway.Request) error {
+	var hasUnits, hasSpread, hasFirst bool
+	for field := range strings.SplitSeq(terms, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		var err error
-		var again bool
+		var duplicate bool
 		switch name {
 		case "units":
-			again, units = units, true
+			duplicate, hasUnits = hasUnits, true
 			req.Units, err = strconv.ParseFloat(value, 64)
 		case "spread":
-			again, spread = spread, true
+			duplicate, hasSpread = hasSpread, true
 			req.Spread, err = strconv.Atoi(value)
 		case "first":
-			again, first = first, true
+			duplicate, hasFirst = hasFirst, true
 			req.FirstGateway, err = strconv.Atoi(value)
 		}
-		if err != nil || again {
-			return errTerms
+		if err != nil || duplicate {
+			return errInvalidTerms
 		}
 	}
-	if !units || !spread || !first || !c.validTerms(req) {
-		return errTerms
+	if !hasUnits || !hasSpread || !hasFirst || !s.validTerms(req) {
+		return errInvalidTerms
 	}
 	return nil
 }
 
-// validTerms reports whether a request's terms are in the settings' range.
-func (c *Clients) validTerms(req *gateway.Request) bool {
-	s := c.settings
-	return req.Units > 0 && !math.IsInf(req.Units, 0) && (s.LargestUnits <= 0 || req.Units <= s.LargestUnits) &&
-		req.Spread >= 1 && req.Spread <= s.Gateways && req.FirstGateway >= 0 && req.FirstGateway < s.Gateways
+// validTerms reports whether a request's terms are in the range that the settings allow.
+func (s *Server) validTerms(req *gateway.Request) bool {
+	settings := s.settings
+	return req.Units > 0 && !math.IsInf(req.Units, 0) &&
+		(settings.LargestUnits <= 0 || req.Units <= settings.LargestUnits) &&
+		req.Spread >= 1 && req.Spread <= settings.Gateways &&
+		req.FirstGateway >= 0 && req.FirstGateway < settings.Gateways
 }
 
 // parseHex reads exactly 16 hexadecimal digits.
@@ -230,7 +236,7 @@
 	return strconv.ParseUint(s, 16, 64)
 }
 
-// readBody reads a request's body of the length that its head states, within bodyTimeout.
+// readBody reads a request's body, whose length is in Content-Length, within bodyTimeout.
 func readBody(w http.ResponseWriter, r *http.Request, method string) ([]byte, error) {
 	if r.ContentLength > maxBody {
 		return nil, errBodyTooLarge
@@ -246,6 +252,6 @@
 	if _, err := io.ReadFull(r.Body, body); err != nil {
 		return nil, err
 	}
-	// From here on the connection is read only to learn whether the client disconnects.
+	// From now on the connection is read only to detect whether the client disconnects.
 	return body, control.SetReadDeadline(time.Time{})
 }
--- a/internal/frontdoor/responses.go
+++ b/internal/frontdoor/responses.go
@@ -15,89 +15,92 @@
 )
 
 var (
-	errConnClosed     = errors.New("the connection ended before a response")
-	errNoLength       = errors.New("the response does not state its length")
-	errProtocolSwitch = errors.New("the response switches protocols")
+	errNoResponse     = errors.New("the connection ended before a response began")
+	errNoBodyLength   = errors.New("the response has neither a Content-Length nor a chunked body")
+	errProtocolSwitch = errors.New("the response has the status 101, but no protocol switch was requested")
 )
 
-// read reads a whole response into r, and reports whether the backend keeps the connection open. An error means that
-// there was no usable response: errConnClosed if there was none at all, another one if it was malformed or too large.
-func (b *Backends) read(ctx context.Context, c *pooledConn, m *message, r *reply) (keep bool, err error) {
-	c.limit.remaining = maxResponseHead
-	if _, err := c.r.Peek(1); err != nil {
-		return false, fmt.Errorf("%w: %w", errConnClosed, err)
+// readResponse reads a complete response into outcome, and reports whether the backend keeps the connection open. An
+// error means that there was no usable response: errNoResponse if no data was received, another one if the response was
+// incomplete, malformed or too large.
+func (b *Backends) readResponse(ctx context.Context, conn *pooledConn, request *forwardedRequest,
+	outcome *attemptOutcome) (reusable bool, err error) {
+	conn.limited.remaining = maxResponseHead
+	if _, err := conn.reader.Peek(1); err != nil {
+		return false, fmt.Errorf("%w: %w", errNoResponse, err)
 	}
-	// The end of ctx may have set a deadline already, which this must not undo.
-	c.SetReadDeadline(time.Now().Add(responseTimeout))
+	// The end of ctx may already have set a deadline, which this call replaces; so check ctx afterwards.
+	conn.SetReadDeadline(time.Now().Add(responseReadTimeout))
 	if err := ctx.Err(); err != nil {
 		return false, err
 	}
-	res, err := http.ReadResponse(c.r, &http.Request{Method: m.method})
-	for err == nil && res.StatusCode < 200 && res.StatusCode != http.StatusSwitchingProtocols {
-		res, err = http.ReadResponse(c.r, &http.Request{Method: m.method})
+	response, err := http.ReadResponse(conn.reader, &http.Request{Method: request.method})
+	for err == nil && response.StatusCode < 200 && response.StatusCode != http.StatusSwitchingProtocols {
+		response, err = http.ReadResponse(conn.reader, &http.Request{Method: request.method})
 	}
 	if err != nil {
 		return false, err
 	}
-	body, err := readResponseBody(c, res)
+	body, err := readResponseBody(conn, response)
 	if err != nil {
 		return false, err
 	}
 	switch {
-	case res.StatusCode == http.StatusOK:
-		r.result, r.body, r.contentType = gateway.Answered, body, res.Header["Content-Type"]
-	case (res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusGatewayTimeout) &&
-		res.Header.Get("Not-Started") == "1":
-		r.result = gateway.Rejected
+	case response.StatusCode == http.StatusOK:
+		outcome.result, outcome.body, outcome.contentType = gateway.Answered, body, response.Header["Content-Type"]
+	case (response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusGatewayTimeout) &&
+		response.Header.Get("Not-Started") == "1":
+		outcome.result = gateway.Rejected
 	default:
-		r.result = gateway.AnsweredErr // it may have run
+		outcome.result = gateway.AnsweredErr // the request may have run
 	}
-	if v, err := strconv.ParseFloat(res.Header.Get("X-RateLimit-Used"), 64); err == nil && v >= 0 && v <= maxUsagePercent {
-		r.hasUsage, r.usage = true, v
+	if usage, err := strconv.ParseFloat(response.Header.Get("X-RateLimit-Used"), 64); err == nil &&
+		usage >= 0 && usage <= maxUsagePercent {
+		outcome.hasUsage, outcome.usage = true, usage
 	}
-	r.load = b.parseLoad(res.Header.Get("Server-Load"))
-	return !res.Close, nil
+	outcome.load = b.parseLoad(response.Header.Get("Server-Load"))
+	return !response.Close, nil
 }
 
-// readResponseBody reads a body. One delimited by the connection's end can't be distinguished from a truncated one.
-func readResponseBody(c *pooledConn, res *http.Response) ([]byte, error) {
-	c.limit.remaining = 2 * maxBody // chunks take more bytes than their content
+// readResponseBody reads a body. It rejects a body that ends with the connection, as it might be truncated.
+func readResponseBody(conn *pooledConn, response *http.Response) ([]byte, error) {
+	conn.limited.remaining = 2 * maxBody // chunked encoding needs additional bytes
 	switch {
-	case res.StatusCode == http.StatusSwitchingProtocols:
+	case response.StatusCode == http.StatusSwitchingProtocols:
 		return nil, errProtocolSwitch
-	case res.ContentLength > maxBody:
+	case response.ContentLength > maxBody:
 		return nil, errTooLarge
-	case res.ContentLength >= 0:
-		body := make([]byte, res.ContentLength)
-		_, err := io.ReadFull(res.Body, body)
+	case response.ContentLength >= 0:
+		body := make([]byte, response.ContentLength)
+		_, err := io.ReadFull(response.Body, body)
 		return body, err
-	case len(res.TransferEncoding) == 0:
-		return nil, errNoLength
+	case len(response.TransferEncoding) == 0:
+		return nil, errNoBodyLength
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxBody+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBody+1))
 	if err == nil && len(body) > maxBody {
 		err = errTooLarge
 	}
 	return body, err
 }
 
-// parseLoad reads a load report such as "queue=2,qps=31"; nil unless it has a valid figure for all that the settings
-// name.
-func (b *Backends) parseLoad(text string) []float64 {
-	if text == "" || len(b.loadColumns) == 0 {
+// parseLoad parses a load report such as "queue=2,qps=31". It returns the figures in the order of the settings, or nil
+// if one of them is missing or invalid.
+func (b *Backends) parseLoad(report string) []float64 {
+	if report == "" || len(b.loadColumns) == 0 {
 		return nil
 	}
 	load := make([]float64, len(b.loadColumns))
 	found := 0
-	for field := range strings.SplitSeq(text, ",") {
+	for field := range strings.SplitSeq(report, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		for i, column := range b.loadColumns {
 			if name == column {
-				v, err := strconv.ParseFloat(value, 64)
-				if err != nil || !(v >= 0) || math.IsInf(v, 0) {
+				figure, err := strconv.ParseFloat(value, 64)
+				if err != nil || !(figure >= 0) || math.IsInf(figure, 0) {
 					return nil
 				}
-				load[i] = v
+				load[i] = figure
 				found++
 			}
 		}
--- a/internal/scalelab/sockets.go
+++ b/internal/scalelab/sockets.go
@@ -75,7 +75,7 @@
 			real.taken <- count
 		}
 	})
-	go func() { real.ended <- frontdoor.NewClients(config, loop).Run(ctx, listener) }()
+	go func() { real.ended <- frontdoor.NewServer(config, loop).Run(ctx, listener) }()
 	return real, nil
 }
 
