--- a/cmd/standin/main_test.go
+++ b/cmd/standin/main_test.go
@@ -42,14 +42,14 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	listed, ended := make(chan struct{}, 16), make(chan error, 1)
-	go frontdoor.Follow(ctx, config, nil, func(list frontdoor.EndpointList) {
+	go frontdoor.WatchDiscovery(ctx, config, nil, func(list frontdoor.EndpointList) {
 		loop.Update(list)
 		select {
 		case listed <- struct{}{}:
 		default:
 		}
 	})
-	go func() { ended <- frontdoor.NewClients(config, loop).Run(ctx, listener) }()
+	go func() { ended <- frontdoor.NewServer(config, loop).Run(ctx, listener) }()
 	t.Cleanup(func() {
 		stop()
 		if err := <-ended; err != nil {
--- a/internal/frontdoor/backends_test.go
+++ b/internal/frontdoor/backends_test.go
@@ -22,9 +22,9 @@
 	return b, b.update(ready(addr), clock{time.Now()})[0].ID
 }
 
-var lookMessage = &message{method: http.MethodGet, target: "/look", host: "origin.svc", header: http.Header{"Request-Id": {"9b1f03aa5c7e2d41"}}}
+var lookMessage = &forwardedRequest{method: http.MethodGet, target: "/look", host: "origin.svc", header: http.Header{"Request-Id": {"9b1f03aa5c7e2d41"}}}
 
-var payMessage = &message{method: http.MethodPost, target: "/pay", host: "origin.svc",
+var payMessage = &forwardedRequest{method: http.MethodPost, target: "/pay", host: "origin.svc",
 	header: http.Header{"Request-Id": {"9b1f03aa5c7e2d42"}, "Idempotency-Key": {"k"}}, body: []byte("amount=3")}
 
 const okReply = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -32,7 +32,7 @@
 // A client library may send a GET, and a POST with an Idempotency-Key, again by itself when a pooled connection
 // turns out dead. Such a copy is an attempt that the gateway knows nothing of.
 func TestNothingIsSentAgainOnADeadConnection(t *testing.T) {
-	for name, m := range map[string]*message{"GET": lookMessage, "keyed POST": payMessage} {
+	for name, m := range map[string]*forwardedRequest{"GET": lookMessage, "keyed POST": payMessage} {
 		var seen atomic.Int64
 		addr := raw(t, func(n int, conn net.Conn) {
 			seen.Add(1)
@@ -190,12 +190,12 @@
 			go func() { <-dialing; goOn <- true }()
 			b.send(t.Context(), t.Context(), id, lookMessage)
 			<-got
-			list.Hosts[0].Health = "Terminating"
+			list.Endpoints[0].State = "Terminating"
 			b.update(list, clock{time.Now()})
 		} else {
 			go func() {
 				<-dialing
-				list.Hosts[0].Health = "Terminating"
+				list.Endpoints[0].State = "Terminating"
 				b.update(list, clock{time.Now()})
 				goOn <- true
 			}()
@@ -243,13 +243,13 @@
 	if n := len(conns); n != 1 {
 		t.Errorf("%d connections for 5 attempts, one after another", n)
 	}
-	list.Hosts[0].BornMS = 1 // a new process
+	list.Endpoints[0].StartedMS = 1 // a new process
 	if again := b.update(list, clock{time.Now()})[0].ID; again != id {
 		t.Errorf("the host has the id %v, it had %v", again, id)
 	}
 	await(t, closed, "the old process's connection to be closed")
 
-	c.Conns.Idle = 50 * time.Millisecond
+	c.Connections.Idle = 50 * time.Millisecond
 	b = NewBackends(c)
 	id = b.update(list, clock{time.Now()})[0].ID
 	b.send(t.Context(), t.Context(), id, lookMessage)
