--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter hosts gateways on the simulator's wire: events on standard input, actions on standard
-// output. It only translates; the decisions are the library's.
+// Command simadapter runs gateway instances for the simulator. It reads events from standard input and writes the
+// resulting actions to standard output, in the line protocol of package wire. Package gateway makes all decisions.
 package main
 
 import (
@@ -21,87 +21,90 @@
 	}
 }
 
-// run serves until the input ends. An input that ends inside a batch is an error; errors name the line.
+// run handles messages from in and writes replies to out until the input ends. It returns an error for malformed
+// messages, messages out of order and an input that ends inside a batch. These errors contain the line number.
 func run(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, readBuffer)
-	a := adapter{out: out, instances: map[int]*gateway.Gateway{}}
-	for number := 1; ; number++ {
-		text, err := r.ReadBytes('\n')
+	reader := bufio.NewReaderSize(in, readBufferSize)
+	host := adapter{out: out, instances: map[int]*gateway.Gateway{}}
+	for lineNumber := 1; ; lineNumber++ {
+		line, err := reader.ReadBytes('\n')
 		if err != nil && err != io.EOF {
 			return err
 		}
-		text = bytes.TrimSpace(text)
-		if len(text) == 0 {
+		line = bytes.TrimSpace(line)
+		if len(line) == 0 {
 			if err == io.EOF {
-				return a.end(number)
+				return host.checkInputEnd(lineNumber)
 			}
 			continue
 		}
-		m, err := wire.Decode(text)
+		message, err := wire.Decode(line)
 		if err != nil {
-			return fmt.Errorf("line %d: %w", number, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
-		if err := a.handle(number, m); err != nil {
+		if err := host.handle(lineNumber, message); err != nil {
 			return err
 		}
 	}
 }
 
-// readBuffer is read at once, in bytes.
-const readBuffer = 1 << 20
+// readBufferSize is the size of the input buffer, in bytes.
+const readBufferSize = 1 << 20
 
-// adapter hosts the instances and gathers their actions until a batch ends.
+// adapter runs the instances and collects their actions until the batch ends.
 type adapter struct {
 	out       io.Writer
-	instances map[int]*gateway.Gateway
-	reply     bytes.Buffer
-	actions   []gateway.Action // reused for its memory
-	now       time.Duration    // of the batch
+	instances map[int]*gateway.Gateway // the running instances by number
+	reply     bytes.Buffer             // the reply to the current batch
+	actions   []gateway.Action         // reused between events to avoid allocations
+	batchTime time.Duration            // the time of the current batch
 	inBatch   bool
 }
 
-// end checks that the input, whose last line has this number, did not end inside a batch.
-func (a *adapter) end(number int) error {
+// checkInputEnd returns an error if the input, which ends at line lineNumber, ended inside a batch.
+func (a *adapter) checkInputEnd(lineNumber int) error {
 	if a.inBatch {
-		return fmt.Errorf("line %d: the input ended inside a batch", number)
+		return fmt.Errorf("line %d: input ended inside a batch", lineNumber)
 	}
 	return nil
 }
 
-// handle carries out one message.
-func (a *adapter) handle(number int, m wire.Message) error {
+// handle processes one message, which was read from line lineNumber. It passes events to their instance and appends the
+// resulting actions to the reply.
+func (a *adapter) handle(lineNumber int, message wire.Message) error {
 	switch {
-	case m.Clock != !a.inBatch:
-		return fmt.Errorf("line %d: out of order: a batch runs from a clock line to its end", number)
-	case m.Clock:
-		a.inBatch, a.now = true, m.At
-	case m.End:
+	case message.BatchStart != !a.inBatch:
+		return fmt.Errorf("line %d: message out of order: a batch starts with a clock message and ends with eob",
+			lineNumber)
+	case message.BatchStart:
+		a.inBatch, a.batchTime = true, message.BatchTime
+	case message.BatchEnd:
 		a.inBatch = false
 		return a.flush()
-	case m.Start != nil:
-		g, err := gateway.New(m.Start.Settings, m.Start.Seed, a.now)
+	case message.InstanceStart != nil:
+		instance, err := gateway.New(message.InstanceStart.Settings, message.InstanceStart.Seed, a.batchTime)
 		if err != nil {
-			return fmt.Errorf("line %d: %w", number, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
-		a.instances[m.Instance] = g
-	case m.Stop:
-		delete(a.instances, m.Instance)
-	case m.Event != nil:
-		g := a.instances[m.Instance]
-		if g == nil {
-			return fmt.Errorf("line %d: an event for instance %d, which is not running", number, m.Instance)
+		a.instances[message.Instance] = instance
+	case message.InstanceStop:
+		delete(a.instances, message.Instance)
+	case message.Event != nil:
+		instance := a.instances[message.Instance]
+		if instance == nil {
+			return fmt.Errorf("line %d: event for instance %d, which is not running", lineNumber, message.Instance)
 		}
-		a.actions = g.Handle(a.now, m.Event, a.actions[:0])
+		a.actions = instance.Handle(a.batchTime, message.Event, a.actions[:0])
 		for _, action := range a.actions {
-			wire.AppendAction(&a.reply, m.Instance, action)
+			wire.AppendAction(&a.reply, message.Instance, action)
 		}
 	}
 	return nil
 }
 
-// flush writes the reply to a batch.
+// flush completes the reply to a batch and writes it.
 func (a *adapter) flush() error {
-	wire.AppendEnd(&a.reply)
+	wire.AppendReplyEnd(&a.reply)
 	if _, err := a.out.Write(a.reply.Bytes()); err != nil {
 		return err
 	}
--- a/internal/frontdoor/backends.go
+++ b/internal/frontdoor/backends.go
@@ -84,10 +84,10 @@
 
 // NewBackends returns one that knows no backends yet.
 func NewBackends(c Config) *Backends {
-	dialer := &net.Dialer{Timeout: c.Conns.Connect, KeepAlive: -1}
+	dialer := &net.Dialer{Timeout: c.Conns.ConnectTimeout, KeepAlive: -1}
 	b := &Backends{loadReports: len(c.Settings.LoadColumns) > 0,
 		failureLog: rate.Sometimes{First: 10, Interval: time.Second},
-		pool:       newPool(dialer.DialContext, c.Limits.backendConns(), time.Duration(idleFraction*float64(c.Conns.Idle))),
+		pool:       newPool(dialer.DialContext, c.Limits.backendConns(), time.Duration(idleFraction*float64(c.Conns.IdleTimeout))),
 		byHost:     map[string]*backend{}, byID: map[gateway.BackendID]*backend{}}
 	for _, name := range c.Settings.LoadColumns {
 		if short, ok := columnNames[name]; ok {
--- a/internal/frontdoor/backends_test.go
+++ b/internal/frontdoor/backends_test.go
@@ -249,7 +249,7 @@
 	}
 	await(t, closed, "the old process's connection to be closed")
 
-	c.Conns.Idle = 50 * time.Millisecond
+	c.Conns.IdleTimeout = 50 * time.Millisecond
 	b = NewBackends(c)
 	id = b.update(list, clock{time.Now()})[0].ID
 	b.send(t.Context(), t.Context(), id, lookMessage)
--- a/internal/frontdoor/config.go
+++ b/internal/frontdoor/config.go
@@ -42,7 +42,7 @@
 	Limits    Limits
 	Known     EndpointList // the backends as this instance last knew them
 	Settings  gateway.Settings
-	Conns     wire.Connections
+	Conns     wire.ConnectionSettings
 }
 
 // LoadConfig reads and validates the configuration file at path, which NODE_CONFIG names. Errors name the path.
@@ -94,7 +94,7 @@
 	if err := settings.Validate(); err != nil {
 		return Config{}, err
 	}
-	if conns.Idle <= 0 || conns.Connect <= 0 {
+	if conns.IdleTimeout <= 0 || conns.ConnectTimeout <= 0 {
 		return Config{}, errors.New("settings without the time-outs of connections")
 	}
 	return Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Seed: seed,
--- a/internal/frontdoor/config_test.go
+++ b/internal/frontdoor/config_test.go
@@ -9,8 +9,8 @@
 
 func TestConfig(t *testing.T) {
 	c := config(t)
-	if c.Seed != 0x8c1f30d27a5be964 || c.Known.Seq != 41 || c.Conns.Idle != 15*time.Second ||
-		c.Conns.Connect != 250*time.Millisecond || len(c.Settings.Classes) != 2 || c.Limits.Sockets != 1024 {
+	if c.Seed != 0x8c1f30d27a5be964 || c.Known.Seq != 41 || c.Conns.IdleTimeout != 15*time.Second ||
+		c.Conns.ConnectTimeout != 250*time.Millisecond || len(c.Settings.Classes) != 2 || c.Limits.Sockets != 1024 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/frontdoor/fleet_discovery_test.go
+++ b/internal/frontdoor/fleet_discovery_test.go
@@ -116,7 +116,7 @@
 func follow(d http.RoundTripper) *followed {
 	config := Config{Discovery: "discovery", Settings: gateway.Settings{Gateways: 300, DrainGrace: 400 * time.Millisecond,
 		AskForList: true}}
-	config.Conns.StaleAfter = 10 * time.Second
+	config.Conns.StalenessBound = 10 * time.Second
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	f := &followed{started: time.Now(), moves: make(chan string)}
--- a/internal/frontdoor/lease_test.go
+++ b/internal/frontdoor/lease_test.go
@@ -70,7 +70,7 @@
 	}
 	c.Settings.AskForList = true
 	for _, connect := range []time.Duration{50 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second} {
-		c.Conns.Connect = connect
+		c.Conns.ConnectTimeout = connect
 		if lease := listLease(c); lease+connect >= stalenessBound || lease < stalenessBound/2 {
 			t.Errorf("a lease of %v with connections that take up to %v", lease, connect)
 		}
--- a/internal/frontdoor/loop.go
+++ b/internal/frontdoor/loop.go
@@ -102,7 +102,7 @@
 	if !c.Settings.AskForList {
 		return 0
 	}
-	return max(stalenessBound/2, stalenessBound-leaseMargin-c.Conns.Connect)
+	return max(stalenessBound/2, stalenessBound-leaseMargin-c.Conns.ConnectTimeout)
 }
 
 // NewLoop starts a gateway that knows the backends of the configuration. Errors are those of gateway.New.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,112 +8,124 @@
 	"herontiller/internal/gateway"
 )
 
-// settingsJSON are an instance's settings as they stand on the wire and in a configuration file. Times are in
-// microseconds.
+// settingsJSON is the JSON form of an instance's settings, in the simulator's protocol and in a configuration file.
+// Times are in microseconds.
 type settingsJSON struct {
-	Balancers int    `json:"balancers"`
-	Me        int    `json:"me"`
+	Gateways  int    `json:"balancers"` // the size of the fleet
+	Index     int    `json:"me"`        // of this instance in the fleet, from 0
 	Zone      string `json:"zone"`
 	Discovery string `json:"discovery"`
-	Lanes     []struct {
-		Name      string  `json:"name"`
-		Effect    string  `json:"effect"`
-		Group     string  `json:"group"`
-		KeyTTL    int64   `json:"key_ttl_us"`
-		Aim       int64   `json:"goal_time_us"`
-		Deadline  int64   `json:"deadline_us"`
-		Gain      float64 `json:"gain"`
-		LateValue float64 `json:"late_value"`
-		Stream    bool    `json:"stream"`
+	Classes   []struct {
+		Name           string  `json:"name"`
+		Effect         string  `json:"effect"`
+		Group          string  `json:"group"`
+		KeyWindow      int64   `json:"key_ttl_us"`
+		TargetLatency  int64   `json:"goal_time_us"`
+		Deadline       int64   `json:"deadline_us"`
+		Value          float64 `json:"gain"`
+		LateValueShare float64 `json:"late_value"`
+		Stream         bool    `json:"stream"`
 	} `json:"lanes"`
-	Tariffs []struct {
-		Name      string  `json:"name"`
-		Rate      float64 `json:"units_per_s"`
-		Burst     float64 `json:"burst"`
-		Parallel  int     `json:"parallel"`
-		Value     float64 `json:"value_factor"`
-		OverWorth float64 `json:"excess_worth"`
-		OverCost  float64 `json:"excess_cost"`
-		CeilRate  float64 `json:"ceiling_rate"`
-		CeilDepth float64 `json:"never_over_depth"`
-		CeilSlack float64 `json:"cap_slack"`
+	Plans []struct {
+		Name         string  `json:"name"`
+		Rate         float64 `json:"units_per_s"`
+		Burst        float64 `json:"burst"`
+		MaxInFlight  int     `json:"parallel"`
+		ValueFactor  float64 `json:"value_factor"`
+		ExcessValue  float64 `json:"excess_worth"`
+		ExcessCost   float64 `json:"excess_cost"`
+		CeilingRate  float64 `json:"ceiling_rate"`
+		CeilingBurst float64 `json:"never_over_depth"`
+		CeilingSlack float64 `json:"cap_slack"`
 	} `json:"tariffs"`
-	Family struct {
-		Meter   int64   `json:"meter_period_us"`
-		Largest float64 `json:"largest"`
+	Metering struct {
+		MeterPeriod  int64   `json:"meter_period_us"`
+		LargestUnits float64 `json:"largest"`
 	} `json:"family_info"`
 	Limits struct {
-		Cancel     bool  `json:"cancel"`
-		Probes     bool  `json:"probes"`
-		Attempts   int   `json:"max_attempts"`
-		Parallel   bool  `json:"parallel_tries"`
-		RetryAfter bool  `json:"retry_after"`
-		MaxAfter   int64 `json:"max_retry_after_us"`
-		ConnIdle   int64 `json:"conn_idle_us"`
-		Connect    int64 `json:"connect_timeout_us"`
+		CanCancel        bool  `json:"cancel"`
+		CanProbe         bool  `json:"probes"`
+		MaxAttempts      int   `json:"max_attempts"`
+		ParallelAttempts bool  `json:"parallel_tries"`
+		HonorsRetryAfter bool  `json:"retry_after"` // clients wait for the time that Retry-After gives
+		MaxRetryAfter    int64 `json:"max_retry_after_us"`
+		IdleTimeout      int64 `json:"conn_idle_us"`
+		ConnectTimeout   int64 `json:"connect_timeout_us"`
 	} `json:"policy_limits"`
-	Duties struct {
-		Grace    int64   `json:"grace_to_answer_us"`
-		Drain    int64   `json:"stop_sending_within_us"`
-		ColdFrom float64 `json:"cold_from"`
-		Warm     int64   `json:"warm_within_us"`
-		Multiple float64 `json:"fall_multiple"`
-		Fall     int64   `json:"fall_us"`
-		MustAsk  int64   `json:"must_ask_in_us"`
+	Obligations struct {
+		AnswerGrace      int64   `json:"grace_to_answer_us"`
+		DrainGrace       int64   `json:"stop_sending_within_us"`
+		MinColdShare     float64 `json:"cold_from"`
+		WarmupTime       int64   `json:"warm_within_us"`
+		OverloadMultiple float64 `json:"fall_multiple"`
+		OverloadDuration int64   `json:"fall_us"`
+		StalenessBound   int64   `json:"must_ask_in_us"`
 	} `json:"obligations"`
-	Stats struct {
-		Columns []string `json:"columns"`
-		How     string   `json:"how"`
+	LoadReports struct {
+		LoadColumns []string `json:"columns"`
+		Source      string   `json:"how"`
 	} `json:"stats"`
 }
 
+// effects maps the names of effects in the settings to the constants of package gateway.
 var effects = map[string]gateway.Effect{"": gateway.Safe, "retryable": gateway.Safe, "dedup": gateway.Keyed,
 	"fragile": gateway.Unsafe}
 
+// groups maps the names of groups in the settings to the constants of package gateway.
 var groups = map[string]gateway.Group{"": gateway.GroupAll, "all": gateway.GroupAll, "zone": gateway.GroupZone,
 	"cell": gateway.GroupCell}
 
-// Connections are the settings on connections to backends and to discovery. Only a gateway on real sockets needs them.
-type Connections struct {
-	Idle    time.Duration // a backend closes one that was idle for this long
-	Connect time.Duration // one that is not up by then counts as failed
-	// StaleAfter is the staleness bound of a list that must be requested: a gateway that has not requested it for this
-	// long counts as knowing what discovery had by then; 0: no such bound
-	StaleAfter time.Duration
+// ConnectionSettings holds the timing of connections to backends and to discovery. Only a gateway that serves real
+// connections uses it.
+type ConnectionSettings struct {
+	IdleTimeout    time.Duration // backends close connections that have been idle for this long
+	ConnectTimeout time.Duration // an attempt to connect that takes longer has failed
+	// StalenessBound applies where gateways must request the list of backends: a gateway that has not requested it for
+	// this long is assumed to know the list as discovery had it at that time. 0 means no such bound.
+	StalenessBound time.Duration
 }
 
-// DecodeSettings reads the settings of an instance. They have the same form on the wire and in the configuration file
-// of a gateway on real sockets.
-func DecodeSettings(text []byte) (gateway.Settings, Connections, error) {
-	var p settingsJSON
-	if err := json.Unmarshal(text, &p); err != nil {
-		return gateway.Settings{}, Connections{}, fmt.Errorf("settings: %w", err)
+// DecodeSettings parses the settings of an instance. They have the same format in the simulator's protocol and in the
+// configuration file of a gateway that serves real connections. DecodeSettings checks the JSON and the names of effects
+// and groups; gateway.Settings.Validate checks the values.
+func DecodeSettings(text []byte) (gateway.Settings, ConnectionSettings, error) {
+	var decoded settingsJSON
+	if err := json.Unmarshal(text, &decoded); err != nil {
+		return gateway.Settings{}, ConnectionSettings{}, fmt.Errorf("settings: %w", err)
 	}
-	s := gateway.Settings{Gateways: p.Balancers, Me: p.Me, Zone: p.Zone, MeterPeriod: micros(p.Family.Meter),
-		LargestUnits: p.Family.Largest, MaxAttempts: p.Limits.Attempts, ParallelTries: p.Limits.Parallel,
-		CanCancel: p.Limits.Cancel, CanProbe: p.Limits.Probes, AskForList: p.Discovery == "on_request",
-		LoadColumns: p.Stats.Columns, LoadInAnswers: p.Stats.How == "answers", AnswerGrace: micros(p.Duties.Grace),
-		DrainGrace: micros(p.Duties.Drain), ColdFrom: p.Duties.ColdFrom, WarmWithin: micros(p.Duties.Warm),
-		FallMultiple: p.Duties.Multiple, FallFor: micros(p.Duties.Fall)}
-	if p.Limits.RetryAfter {
-		s.MaxRetryAfter = micros(p.Limits.MaxAfter)
+	settings := gateway.Settings{Gateways: decoded.Gateways, Me: decoded.Index, Zone: decoded.Zone,
+		MeterPeriod: fromMicroseconds(decoded.Metering.MeterPeriod), LargestUnits: decoded.Metering.LargestUnits,
+		MaxAttempts: decoded.Limits.MaxAttempts, ParallelTries: decoded.Limits.ParallelAttempts,
+		CanCancel: decoded.Limits.CanCancel, CanProbe: decoded.Limits.CanProbe,
+		AskForList: decoded.Discovery == "on_request", LoadColumns: decoded.LoadReports.LoadColumns,
+		LoadInAnswers: decoded.LoadReports.Source == "answers",
+		AnswerGrace:   fromMicroseconds(decoded.Obligations.AnswerGrace),
+		DrainGrace:    fromMicroseconds(decoded.Obligations.DrainGrace),
+		ColdFrom:      decoded.Obligations.MinColdShare,
+		WarmWithin:    fromMicroseconds(decoded.Obligations.WarmupTime),
+		FallMultiple:  decoded.Obligations.OverloadMultiple,
+		FallFor:       fromMicroseconds(decoded.Obligations.OverloadDuration)}
+	if decoded.Limits.HonorsRetryAfter {
+		settings.MaxRetryAfter = fromMicroseconds(decoded.Limits.MaxRetryAfter)
 	}
-	for _, c := range p.Lanes {
-		effect, ok := effects[c.Effect]
-		group, ok2 := groups[c.Group]
-		if !ok || !ok2 {
-			return gateway.Settings{}, Connections{}, fmt.Errorf("class %q has the effect %q and the group %q",
-				c.Name, c.Effect, c.Group)
+	for _, class := range decoded.Classes {
+		effect, knownEffect := effects[class.Effect]
+		group, knownGroup := groups[class.Group]
+		if !knownEffect || !knownGroup {
+			return gateway.Settings{}, ConnectionSettings{},
+				fmt.Errorf("class %q: unknown effect %q or unknown group %q", class.Name, class.Effect, class.Group)
 		}
-		s.Classes = append(s.Classes, gateway.Class{Name: c.Name, Effect: effect, Group: group,
-			KeyWindow: micros(c.KeyTTL), Aim: micros(c.Aim), Deadline: micros(c.Deadline), Worth: c.Gain,
-			LateWorth: c.LateValue, Stream: c.Stream})
+		settings.Classes = append(settings.Classes, gateway.Class{Name: class.Name, Effect: effect, Group: group,
+			KeyWindow: fromMicroseconds(class.KeyWindow), Aim: fromMicroseconds(class.TargetLatency),
+			Deadline: fromMicroseconds(class.Deadline), Worth: class.Value, LateWorth: class.LateValueShare,
+			Stream: class.Stream})
 	}
-	for _, t := range p.Tariffs {
-		s.Plans = append(s.Plans, gateway.Plan{Name: t.Name, Rate: t.Rate, Burst: t.Burst, Open: t.Parallel,
-			Price: t.Value, OverWorth: t.OverWorth, OverCost: t.OverCost, CeilingRate: t.CeilRate,
-			CeilingBurst: t.CeilDepth, CeilingSlack: t.CeilSlack})
+	for _, plan := range decoded.Plans {
+		settings.Plans = append(settings.Plans, gateway.Plan{Name: plan.Name, Rate: plan.Rate, Burst: plan.Burst,
+			Open: plan.MaxInFlight, Price: plan.ValueFactor, OverWorth: plan.ExcessValue, OverCost: plan.ExcessCost,
+			CeilingRate: plan.CeilingRate, CeilingBurst: plan.CeilingBurst, CeilingSlack: plan.CeilingSlack})
 	}
-	return s, Connections{Idle: micros(p.Limits.ConnIdle), Connect: micros(p.Limits.Connect),
-		StaleAfter: micros(p.Duties.MustAsk)}, nil
+	return settings, ConnectionSettings{IdleTimeout: fromMicroseconds(decoded.Limits.IdleTimeout),
+		ConnectTimeout: fromMicroseconds(decoded.Limits.ConnectTimeout),
+		StalenessBound: fromMicroseconds(decoded.Obligations.StalenessBound)}, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,6 @@
-// Package wire translates between the lines of the simulator's wire and the types of package gateway.
+// Package wire translates between the simulator's line protocol and the types of package gateway: it decodes messages
+// and settings, and encodes actions. Each line is one JSON object. Messages come in batches, from a clock line to an
+// end-of-batch line, and each batch gets one reply, which ends with an end-of-reply line.
 package wire
 
 import (
@@ -13,48 +15,48 @@
 	"herontiller/internal/gateway"
 )
 
-// MaxTimer is the longest timer that the wire takes; longer ones are shortened to it.
-const MaxTimer = 71 * time.Minute
+// MaxTimerDelay is the longest timer that the protocol accepts. Longer timers are shortened to it.
+const MaxTimerDelay = 71 * time.Minute
 
-// Message is one decoded line from the simulator. At most one of Start, Stop and Event is set, besides the
-// frame marks; a message that the library has no use for sets none.
+// Message is one decoded line from the simulator. At most one of BatchStart, BatchEnd, InstanceStart, InstanceStop and
+// Event is set. None is set for a kind of message that package gateway does not use.
 type Message struct {
-	Clock    bool          // a batch begins at At
-	At       time.Duration // the batch's clock
-	End      bool          // the batch ends
-	Instance int
-	Start    *Start
-	Stop     bool
-	Event    gateway.Event
+	BatchStart    bool          // a batch begins; BatchTime is set
+	BatchTime     time.Duration // the current time in the batch
+	BatchEnd      bool          // the batch ends
+	Instance      int           // the instance that the message is for
+	InstanceStart *InstanceStart
+	InstanceStop  bool // the instance ends
+	Event         gateway.Event
 }
 
-// Start begins an instance.
-type Start struct {
+// InstanceStart holds what an instance starts with.
+type InstanceStart struct {
 	Seed     uint64
 	Settings gateway.Settings
 }
 
-// rawMessage is a line as it stands on the wire: the union of the fields of all kinds of messages, under the names of
-// package gateway. Times are in microseconds.
+// rawMessage is the JSON form of a line. It is the union of the fields of all kinds of messages. Times are in
+// microseconds. Fields are pointers where a missing value must be distinguished from zero.
 type rawMessage struct {
 	Kind          string          `json:"m"`
-	AtUS          *int64          `json:"at_time_us"`
+	Time          *int64          `json:"at_time_us"`
 	Instance      *int            `json:"door"`
 	Seed          uint64          `json:"random_seed"`
-	Params        json.RawMessage `json:"params"`
-	Mode          string          `json:"mode"`
+	Settings      json.RawMessage `json:"params"`
+	ListKind      string          `json:"mode"`
 	Entries       []listEntry     `json:"elements"`
-	Request       *string         `json:"txn"`
+	RequestID     *string         `json:"txn"`
 	Spread        float64         `json:"spread"`
-	FirstInstance float64         `json:"first_door"`
+	FirstGateway  float64         `json:"first_door"`
 	Plan          string          `json:"terms"`
 	Class         string          `json:"grade"`
-	Patience      int64           `json:"grace_us"`
+	ClientTimeout int64           `json:"grace_us"`
 	Units         float64         `json:"cost_units"`
 	Customer      uint64          `json:"caller"`
-	Took          int64           `json:"duration_us"`
+	Duration      int64           `json:"duration_us"`
 	Attempt       int             `json:"try"`
-	UsePlusOne    int64           `json:"seen_use"` // percent and 1; 0: not known
+	UsagePlusOne  int64           `json:"seen_use"` // percent plus 1; 0 if the use is unknown
 	Backend       *uint32         `json:"backend"`
 	Result        string          `json:"rc"`
 	Final         bool            `json:"last"`
@@ -63,205 +65,220 @@
 	TimerToken    *uint64         `json:"ref"`
 }
 
-// listEntry is a backend in a list.
+// listEntry is the JSON form of a backend in a list.
 type listEntry struct {
-	Power   float64 `json:"power_hint"`
-	Health  string  `json:"health"`
+	Weight  float64 `json:"power_hint"`
+	State   string  `json:"health"`
 	Zone    string  `json:"az"`
 	Kind    string  `json:"kind"`
 	Cell    int     `json:"cell"`
-	Boot    int64   `json:"boot_time_us"`
+	Started int64   `json:"boot_time_us"`
 	Backend *uint32 `json:"backend"`
 }
 
-// The wire's words for the constants of package gateway.
-
-var results = map[string]gateway.Result{
-	"delivered": gateway.Answered, "app_error": gateway.AnsweredErr, "shed": gateway.Rejected, "expired": gateway.TimedOut,
-	"dial_failed": gateway.NoConnection, "dropped": gateway.Broken, "revoked": gateway.Cancelled, "unused": gateway.NotSent,
+// resultsByCode maps the result codes of the protocol to the constants of package gateway.
+var resultsByCode = map[string]gateway.Result{
+	"delivered": gateway.Answered, "app_error": gateway.AnsweredErr, "shed": gateway.Rejected,
+	"expired": gateway.TimedOut, "dial_failed": gateway.NoConnection, "dropped": gateway.Broken,
+	"revoked": gateway.Cancelled, "unused": gateway.NotSent,
 }
 
-var states = map[string]gateway.BackendState{"healthy": gateway.Ready, "cordoned": gateway.Draining, "deregistered": gateway.Gone}
+// backendStates maps the backend states of the protocol to the constants of package gateway.
+var backendStates = map[string]gateway.BackendState{"healthy": gateway.Ready, "cordoned": gateway.Draining,
+	"deregistered": gateway.Gone}
 
-var modes = map[string]gateway.ListKind{
-	"INCREMENTAL": gateway.ListChanges, "FULL": gateway.ListFull, "SAVED": gateway.ListSaved, "FAILED": gateway.ListFailed,
+// listKinds maps the kinds of lists in the protocol to the constants of package gateway.
+var listKinds = map[string]gateway.ListKind{
+	"INCREMENTAL": gateway.ListChanges, "FULL": gateway.ListFull, "SAVED": gateway.ListSaved,
+	"FAILED": gateway.ListFailed,
 }
 
-// micros is a time of the wire, in microseconds; what does not fit is cut to what does.
-func micros(v int64) time.Duration {
-	if v > math.MaxInt64/1000 {
-		v = math.MaxInt64 / 1000
+// fromMicroseconds converts a time of the protocol, in microseconds, to a duration. A value that does not fit a
+// duration is clamped to the nearest one that does.
+func fromMicroseconds(us int64) time.Duration {
+	if us > math.MaxInt64/1000 {
+		us = math.MaxInt64 / 1000
 	}
-	if v < math.MinInt64/1000 {
-		v = math.MinInt64 / 1000
+	if us < math.MinInt64/1000 {
+		us = math.MinInt64 / 1000
 	}
-	return time.Duration(v) * time.Microsecond
+	return time.Duration(us) * time.Microsecond
 }
 
-// Decode reads one line. It refuses what is malformed and skips what it does not know.
-func Decode(text []byte) (Message, error) {
-	var l rawMessage
-	var m Message
-	if err := json.Unmarshal(text, &l); err != nil {
-		return m, fmt.Errorf("not a message: %w", err)
+// Decode parses one line. It returns an error for a malformed line, and ignores unknown fields and unknown kinds of
+// messages.
+func Decode(line []byte) (Message, error) {
+	var raw rawMessage
+	var message Message
+	if err := json.Unmarshal(line, &raw); err != nil {
+		return message, fmt.Errorf("malformed message: %w", err)
 	}
 	var err error
-	switch l.Kind {
+	switch raw.Kind {
 	case "":
-		return m, errors.New("a message without a name")
+		return message, errors.New("message without a kind")
 	case "clock":
-		if l.AtUS == nil {
-			return m, errors.New("a clock line without a time")
+		if raw.Time == nil {
+			return message, errors.New("clock message without a time")
 		}
-		m.Clock, m.At = true, micros(*l.AtUS)
-		return m, nil
+		message.BatchStart, message.BatchTime = true, fromMicroseconds(*raw.Time)
+		return message, nil
 	case "eob":
-		m.End = true
-		return m, nil
+		message.BatchEnd = true
+		return message, nil
 	}
-	if l.Instance == nil {
-		return m, fmt.Errorf("%s without an instance", l.Kind)
+	if raw.Instance == nil {
+		return message, fmt.Errorf("%s message without an instance", raw.Kind)
 	}
-	m.Instance = *l.Instance
-	switch l.Kind {
+	message.Instance = *raw.Instance
+	switch raw.Kind {
 	case "boot":
-		m.Start, err = decodeStart(l)
+		message.InstanceStart, err = decodeStart(raw)
 	case "detach":
-		m.Stop = true
+		message.InstanceStop = true
 	default:
-		m.Event, err = decodeEvent(l)
+		message.Event, err = decodeEvent(raw)
 	}
-	return m, err
+	return message, err
 }
 
-// decodeEvent reads an event of an instance; nil for a kind that it does not know.
-func decodeEvent(l rawMessage) (gateway.Event, error) {
-	switch l.Kind {
+// decodeEvent decodes an event of an instance. It returns nil for an unknown kind of message.
+func decodeEvent(raw rawMessage) (gateway.Event, error) {
+	switch raw.Kind {
 	case "targets":
-		return decodeList(l)
+		return decodeList(raw)
 	case "call":
-		return decodeRequest(l)
+		return decodeRequest(raw)
 	case "closed_attempt":
-		return decodeOutcome(l)
+		return decodeOutcome(raw)
 	case "established":
-		id, err := requestID(l)
-		return gateway.AnswerStarted{Request: id, Attempt: l.Attempt}, err
+		id, err := parseRequestID(raw)
+		return gateway.AnswerStarted{Request: id, Attempt: raw.Attempt}, err
 	case "client_left":
-		id, err := requestID(l)
+		id, err := parseRequestID(raw)
 		return gateway.ClientGone{Request: id}, err
 	case "sampled":
-		return decodeProbeResult(l)
+		return decodeProbeResult(raw)
 	case "reminder":
-		if l.TimerToken == nil {
-			return nil, errors.New("reminder without a ref")
+		if raw.TimerToken == nil {
+			return nil, errors.New("reminder message without a ref")
 		}
-		return gateway.Timer{Token: *l.TimerToken}, nil
+		return gateway.Timer{Token: *raw.TimerToken}, nil
 	}
 	return nil, nil
 }
 
-func decodeProbeResult(l rawMessage) (gateway.Event, error) {
-	if l.Backend == nil {
-		return nil, errors.New("sampled without a backend")
+// decodeProbeResult decodes the result of a probe.
+func decodeProbeResult(raw rawMessage) (gateway.Event, error) {
+	if raw.Backend == nil {
+		return nil, errors.New("sampled message without a backend")
 	}
-	return gateway.ProbeResult{Backend: gateway.BackendID(*l.Backend), Result: result(l.Result), Took: micros(l.Took),
-		Load: l.Load}, nil
+	return gateway.ProbeResult{Backend: gateway.BackendID(*raw.Backend), Result: parseResult(raw.Result),
+		Took: fromMicroseconds(raw.Duration), Load: raw.Load}, nil
 }
 
-// result is the attempt result of a code; Unknown for one that is not known.
-func result(code string) gateway.Result {
-	if r, ok := results[code]; ok {
-		return r
+// parseResult returns the result for a code of the protocol, or gateway.Unknown for an unknown code.
+func parseResult(code string) gateway.Result {
+	if result, ok := resultsByCode[code]; ok {
+		return result
 	}
 	return gateway.Unknown
 }
 
-// requestID reads a request id: 16 lower-case hexadecimal digits.
-func requestID(l rawMessage) (gateway.RequestID, error) {
-	if l.Request == nil || len(*l.Request) != 16 {
-		return 0, fmt.Errorf("%s without a request id of 16 hex digits", l.Kind)
+// parseRequestID parses the request ID of a message, which is 16 lower-case hexadecimal digits.
+func parseRequestID(raw rawMessage) (gateway.RequestID, error) {
+	if raw.RequestID == nil || len(*raw.RequestID) != 16 {
+		return 0, fmt.Errorf("%s message without a request ID of 16 hexadecimal digits", raw.Kind)
 	}
-	v, err := strconv.ParseUint(*l.Request, 16, 64)
-	if err != nil || formatID(gateway.RequestID(v)) != *l.Request {
-		return 0, fmt.Errorf("%s with the request id %q", l.Kind, *l.Request)
+	id, err := strconv.ParseUint(*raw.RequestID, 16, 64)
+	if err != nil || formatRequestID(gateway.RequestID(id)) != *raw.RequestID {
+		return 0, fmt.Errorf("%s message with the invalid request ID %q", raw.Kind, *raw.RequestID)
 	}
-	return gateway.RequestID(v), nil
+	return gateway.RequestID(id), nil
 }
 
-func formatID(id gateway.RequestID) string { return fmt.Sprintf("%016x", uint64(id)) }
+// formatRequestID formats a request ID as 16 lower-case hexadecimal digits.
+func formatRequestID(id gateway.RequestID) string { return fmt.Sprintf("%016x", uint64(id)) }
 
-func decodeRequest(l rawMessage) (gateway.Event, error) {
-	id, err := requestID(l)
-	return gateway.Request{ID: id, Customer: gateway.CustomerID(l.Customer), Class: l.Class, Plan: l.Plan,
-		Units: l.Units, Patience: micros(l.Patience), FirstGateway: int(l.FirstInstance), Spread: int(l.Spread)}, err
+// decodeRequest decodes a request from a client.
+func decodeRequest(raw rawMessage) (gateway.Event, error) {
+	id, err := parseRequestID(raw)
+	return gateway.Request{ID: id, Customer: gateway.CustomerID(raw.Customer), Class: raw.Class, Plan: raw.Plan,
+		Units: raw.Units, Patience: fromMicroseconds(raw.ClientTimeout), FirstGateway: int(raw.FirstGateway),
+		Spread: int(raw.Spread)}, err
 }
 
-func decodeOutcome(l rawMessage) (gateway.Event, error) {
-	id, err := requestID(l)
-	if err == nil && l.Backend == nil {
-		err = errors.New("an outcome without a backend")
+// decodeOutcome decodes the outcome of an attempt.
+func decodeOutcome(raw rawMessage) (gateway.Event, error) {
+	id, err := parseRequestID(raw)
+	if err == nil && raw.Backend == nil {
+		err = errors.New("outcome without a backend")
 	}
 	if err != nil {
 		return nil, err
 	}
-	return gateway.Outcome{Request: id, Backend: gateway.BackendID(*l.Backend), Attempt: l.Attempt, Result: result(l.Result),
-		Took: micros(l.Took), Final: l.Final, HasUse: l.UsePlusOne > 0, Use: float64(l.UsePlusOne - 1), Units: l.SettledUnits,
-		Load: l.Load}, nil
+	return gateway.Outcome{Request: id, Backend: gateway.BackendID(*raw.Backend), Attempt: raw.Attempt,
+		Result: parseResult(raw.Result), Took: fromMicroseconds(raw.Duration), Final: raw.Final,
+		HasUse: raw.UsagePlusOne > 0, Use: float64(raw.UsagePlusOne - 1), Units: raw.SettledUnits, Load: raw.Load}, nil
 }
 
-func decodeList(l rawMessage) (gateway.Event, error) {
-	kind, ok := modes[l.Mode]
+// decodeList decodes a list of backends, or a list of changes.
+func decodeList(raw rawMessage) (gateway.Event, error) {
+	kind, ok := listKinds[raw.ListKind]
 	if !ok {
-		return nil, fmt.Errorf("a list of unknown kind %q", l.Mode)
+		return nil, fmt.Errorf("list of unknown kind %q", raw.ListKind)
 	}
-	out := gateway.BackendList{Kind: kind}
-	for _, e := range l.Entries {
-		state, ok := states[e.Health]
-		if !ok || e.Backend == nil {
-			return nil, fmt.Errorf("a list entry without a backend or with the state %q", e.Health)
+	list := gateway.BackendList{Kind: kind}
+	for _, entry := range raw.Entries {
+		state, ok := backendStates[entry.State]
+		if !ok || entry.Backend == nil {
+			return nil, fmt.Errorf("list entry without a backend or with the unknown state %q", entry.State)
 		}
-		out.Backends = append(out.Backends, gateway.BackendInfo{ID: gateway.BackendID(*e.Backend), State: state,
-			Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Started: micros(e.Boot), Weight: e.Power})
+		list.Backends = append(list.Backends, gateway.BackendInfo{ID: gateway.BackendID(*entry.Backend), State: state,
+			Zone: entry.Zone, Kind: entry.Kind, Cell: entry.Cell, Started: fromMicroseconds(entry.Started),
+			Weight: entry.Weight})
 	}
-	return out, nil
+	return list, nil
 }
 
-func decodeStart(l rawMessage) (*Start, error) {
-	if len(l.Params) == 0 {
-		return nil, errors.New("boot without settings")
+// decodeStart decodes the start of an instance.
+func decodeStart(raw rawMessage) (*InstanceStart, error) {
+	if len(raw.Settings) == 0 {
+		return nil, errors.New("boot message without settings")
 	}
-	s, _, err := DecodeSettings(l.Params)
+	settings, _, err := DecodeSettings(raw.Settings)
 	if err != nil {
 		return nil, err
 	}
-	return &Start{Seed: l.Seed, Settings: s}, nil
+	return &InstanceStart{Seed: raw.Seed, Settings: settings}, nil
 }
 
-// AppendAction writes one action of an instance as a line.
-func AppendAction(b *bytes.Buffer, instance int, a gateway.Action) {
-	switch a := a.(type) {
+// AppendAction appends one action of an instance to buffer as a line. It ignores unknown types of actions.
+func AppendAction(buffer *bytes.Buffer, instance int, action gateway.Action) {
+	switch action := action.(type) {
 	case gateway.Send:
-		fmt.Fprintf(b, `{"m":"assign","door":%d,"txn":"%s","max_wait_us":%d,"backend":%d}`, instance,
-			formatID(a.Request), a.Timeout.Microseconds(), a.Backend)
+		fmt.Fprintf(buffer, `{"m":"assign","door":%d,"txn":"%s","max_wait_us":%d,"backend":%d}`, instance,
+			formatRequestID(action.Request), action.Timeout.Microseconds(), action.Backend)
 	case gateway.Reject:
-		fmt.Fprintf(b, `{"m":"reject","door":%d,"txn":"%s","not_before_for_us":%d}`, instance,
-			formatID(a.Request), a.RetryAfter.Microseconds())
+		fmt.Fprintf(buffer, `{"m":"reject","door":%d,"txn":"%s","not_before_for_us":%d}`, instance,
+			formatRequestID(action.Request), action.RetryAfter.Microseconds())
 	case gateway.Fail:
-		fmt.Fprintf(b, `{"m":"surrender","door":%d,"txn":"%s"}`, instance, formatID(a.Request))
+		fmt.Fprintf(buffer, `{"m":"surrender","door":%d,"txn":"%s"}`, instance, formatRequestID(action.Request))
 	case gateway.Cancel:
-		fmt.Fprintf(b, `{"m":"recall","door":%d,"txn":"%s","try":%d}`, instance, formatID(a.Request), a.Attempt)
+		fmt.Fprintf(buffer, `{"m":"recall","door":%d,"txn":"%s","try":%d}`, instance,
+			formatRequestID(action.Request), action.Attempt)
 	case gateway.SetTimer:
-		fmt.Fprintf(b, `{"m":"timer","door":%d,"from_now_us":%d,"ref":%d}`, instance,
-			min(max(a.After, 0), MaxTimer).Microseconds(), a.Token)
+		fmt.Fprintf(buffer, `{"m":"timer","door":%d,"from_now_us":%d,"ref":%d}`, instance,
+			min(max(action.After, 0), MaxTimerDelay).Microseconds(), action.Token)
 	case gateway.Probe:
-		fmt.Fprintf(b, `{"m":"poll","door":%d,"backend":%d}`, instance, a.Backend)
+		fmt.Fprintf(buffer, `{"m":"poll","door":%d,"backend":%d}`, instance, action.Backend)
 	case gateway.Subscribe:
-		fmt.Fprintf(b, `{"m":"follow","door":%d,"want":true}`, instance)
+		fmt.Fprintf(buffer, `{"m":"follow","door":%d,"want":true}`, instance)
 	default:
 		return
 	}
-	b.WriteByte('\n')
+	buffer.WriteByte('\n')
 }
 
-// AppendEnd writes the end of a reply.
-func AppendEnd(b *bytes.Buffer) { b.WriteString("{\"m\":\"eor\"}\n") }
+// AppendReplyEnd appends the line that ends a reply to buffer.
+func AppendReplyEnd(buffer *bytes.Buffer) { buffer.WriteString("{\"m\":\"eor\"}\n") }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,10 +10,10 @@
 )
 
 func TestDecodeEvents(t *testing.T) {
-	for text, want := range map[string]Message{
-		`{"m":"clock","at_time_us":8412250}`: {Clock: true, At: 8412250 * time.Microsecond},
-		`{"m":"eob"}`:                        {End: true},
-		`{"m":"detach","door":2}`:            {Instance: 2, Stop: true},
+	for line, want := range map[string]Message{
+		`{"m":"clock","at_time_us":8412250}`: {BatchStart: true, BatchTime: 8412250 * time.Microsecond},
+		`{"m":"eob"}`:                        {BatchEnd: true},
+		`{"m":"detach","door":2}`:            {Instance: 2, InstanceStop: true},
 		`{"m":"call","door":3,"txn":"d4b7b4c55d3a91c4","opts":1,"spread":3,"terms":"kis","grace_us":240000,` +
 			`"cost_units":2,"first_door":1,"grade":"c","caller":7,"new":[1]}`: {Instance: 3, Event: gateway.Request{
 			ID: 0xd4b7b4c55d3a91c4, Customer: 7, Class: "c", Plan: "kis", Units: 2, Patience: 240 * time.Millisecond,
@@ -26,39 +26,42 @@
 		`{"m":"tally_back","door":1,"counter_key":5,"rc":"delivered"}`: {Instance: 1},
 		`{"m":"something_new","door":1}`:                               {Instance: 1},
 	} {
-		got, err := Decode([]byte(text))
+		got, err := Decode([]byte(line))
 		if err != nil || got != want {
-			t.Errorf("%s\n got %+v (%v)\nwant %+v", text, got, err, want)
+			t.Errorf("%s\n got %+v (%v)\nwant %+v", line, got, err, want)
 		}
 	}
 }
 
 func TestDecodeOutcome(t *testing.T) {
-	m, err := Decode([]byte(`{"m":"closed_attempt","door":3,"txn":"d4b7b4c55d3a91c4","duration_us":18500,"try":1,` +
-		`"seen_use":87,"backend":51530247,"rc":"delivered","last":true,"settled":3,"health_info":[0.62,140]}`))
-	o, ok := m.Event.(gateway.Outcome)
-	if err != nil || !ok || o.Result != gateway.Answered || !o.HasUse || o.Use != 86 || !o.Final || o.Attempt != 1 ||
-		len(o.Load) != 2 || o.Backend != 51530247 || o.Took != 18500*time.Microsecond {
-		t.Errorf("%+v %v", m, err)
+	message, err := Decode([]byte(
+		`{"m":"closed_attempt","door":3,"txn":"d4b7b4c55d3a91c4","duration_us":18500,"try":1,` +
+			`"seen_use":87,"backend":51530247,"rc":"delivered","last":true,"settled":3,"health_info":[0.62,140]}`))
+	outcome, ok := message.Event.(gateway.Outcome)
+	if err != nil || !ok || outcome.Result != gateway.Answered || !outcome.HasUse || outcome.Use != 86 ||
+		!outcome.Final || outcome.Attempt != 1 || len(outcome.Load) != 2 || outcome.Backend != 51530247 ||
+		outcome.Took != 18500*time.Microsecond {
+		t.Errorf("got %+v, %v", message, err)
 	}
-	m, err = Decode([]byte(`{"m":"closed_attempt","door":3,"txn":"d4b7b4c55d3a91c4","backend":1,"rc":"odd"}`))
-	if o := m.Event.(gateway.Outcome); err != nil || o.Result != gateway.Unknown || o.HasUse {
-		t.Errorf("an unknown outcome code: %+v %v", o, err)
+	message, err = Decode([]byte(`{"m":"closed_attempt","door":3,"txn":"d4b7b4c55d3a91c4","backend":1,"rc":"odd"}`))
+	if outcome := message.Event.(gateway.Outcome); err != nil || outcome.Result != gateway.Unknown || outcome.HasUse {
+		t.Errorf("unknown result code: got %+v, %v", outcome, err)
 	}
 }
 
 func TestDecodeList(t *testing.T) {
-	m, err := Decode([]byte(`{"m":"targets","door":3,"mode":"SAVED","elements":[{"health":"healthy","az":"a",` +
+	message, err := Decode([]byte(`{"m":"targets","door":3,"mode":"SAVED","elements":[{"health":"healthy","az":"a",` +
 		`"cell":4,"backend":5,"boot_time_us":6},{"health":"deregistered","backend":6}]}`))
-	l, ok := m.Event.(gateway.BackendList)
-	if err != nil || !ok || l.Kind != gateway.ListSaved || len(l.Backends) != 2 || l.Backends[1].State != gateway.Gone ||
-		l.Backends[0] != (gateway.BackendInfo{ID: 5, Zone: "a", Cell: 4, Started: 6 * time.Microsecond}) {
-		t.Errorf("%+v %v", m, err)
+	list, ok := message.Event.(gateway.BackendList)
+	if err != nil || !ok || list.Kind != gateway.ListSaved || len(list.Backends) != 2 ||
+		list.Backends[1].State != gateway.Gone ||
+		list.Backends[0] != (gateway.BackendInfo{ID: 5, Zone: "a", Cell: 4, Started: 6 * time.Microsecond}) {
+		t.Errorf("got %+v, %v", message, err)
 	}
 }
 
-func TestMalformedLinesAreErrors(t *testing.T) {
-	for _, text := range []string{
+func TestDecodeRejectsMalformedLines(t *testing.T) {
+	for _, line := range []string{
 		`{`, `[]`, `{}`, `{"m":""}`, `{"m":"clock"}`, `{"m":"reminder","door":1}`, `{"m":"call","txn":"1"}`,
 		`{"m":"call","door":1,"txn":"12"}`, `{"m":"call","door":1,"txn":"D4B7B4C55D3A91C4"}`,
 		`{"m":"call","door":1,"txn":"zzzzzzzzzzzzzzzz"}`, `{"m":"closed_attempt","door":1,"txn":"00000000000000ff"}`,
@@ -67,22 +70,23 @@
 		`{"m":"targets","door":1,"mode":"FULL","elements":[{"health":"healthy"}]}`, `{"m":"sampled","door":1}`,
 		`{"m":"boot","door":1,"params":{"lanes":[{"effect":"?"}]}}`, `{"m":"reminder","door":1,"ref":-1}`,
 	} {
-		if m, err := Decode([]byte(text)); err == nil {
-			t.Errorf("%s: taken as %+v", text, m)
+		if message, err := Decode([]byte(line)); err == nil {
+			t.Errorf("%s: got %+v, want an error", line, message)
 		}
 	}
 }
 
-func TestActions(t *testing.T) {
-	var b bytes.Buffer
-	for _, a := range []gateway.Action{
-		gateway.Send{Request: 255, Backend: 9, Timeout: time.Millisecond}, gateway.Reject{Request: 1, RetryAfter: time.Second},
-		gateway.Fail{Request: 2}, gateway.Cancel{Request: 3, Attempt: 1}, gateway.SetTimer{After: 100 * time.Hour, Token: 4},
+func TestAppendActionsAndReplyEnd(t *testing.T) {
+	var buffer bytes.Buffer
+	for _, action := range []gateway.Action{
+		gateway.Send{Request: 255, Backend: 9, Timeout: time.Millisecond},
+		gateway.Reject{Request: 1, RetryAfter: time.Second}, gateway.Fail{Request: 2},
+		gateway.Cancel{Request: 3, Attempt: 1}, gateway.SetTimer{After: 100 * time.Hour, Token: 4},
 		gateway.Probe{Backend: 5}, gateway.Subscribe{},
 	} {
-		AppendAction(&b, 6, a)
+		AppendAction(&buffer, 6, action)
 	}
-	AppendEnd(&b)
+	AppendReplyEnd(&buffer)
 	want := `{"m":"assign","door":6,"txn":"00000000000000ff","max_wait_us":1000,"backend":9}
 {"m":"reject","door":6,"txn":"0000000000000001","not_before_for_us":1000000}
 {"m":"surrender","door":6,"txn":"0000000000000002"}
@@ -92,8 +96,8 @@
 {"m":"follow","door":6,"want":true}
 {"m":"eor"}
 `
-	if b.String() != want {
-		t.Errorf("got\n%s", b.String())
+	if buffer.String() != want {
+		t.Errorf("got\n%s", buffer.String())
 	}
 }
 
@@ -102,13 +106,14 @@
 	f.Add(`{"m":"boot","door":0,"random_seed":1,"params":{"balancers":2,"lanes":[{"name":"a"}]}}`)
 	f.Add(`{"m":"targets","door":1,"mode":"FULL","elements":[{"backend":1,"health":"healthy"}]}`)
 	f.Add(`{"m":"closed_attempt","door":1,"txn":"00000000000000ff","backend":1,"health_info":[1]}`)
-	f.Fuzz(func(t *testing.T, text string) {
-		m, err := Decode([]byte(text))
+	f.Fuzz(func(t *testing.T, line string) {
+		message, err := Decode([]byte(line))
 		if err != nil && strings.TrimSpace(err.Error()) == "" {
-			t.Error("an error that says nothing")
+			t.Error("error with an empty message")
 		}
-		if err == nil && m.Start != nil {
-			_, _ = gateway.New(m.Start.Settings, m.Start.Seed, 0) // it may refuse, it must not panic
+		if err == nil && message.InstanceStart != nil {
+			// New may return an error but must not panic.
+			_, _ = gateway.New(message.InstanceStart.Settings, message.InstanceStart.Seed, 0)
 		}
 	})
 }
