--- a/cmd/herontiller/limits_test.go
+++ b/cmd/herontiller/limits_test.go
@@ -18,15 +18,16 @@
 	"time"
 )
 
-// patient is how long a test waits for something that must happen: it fails then, and only then.
-const patient = 20 * time.Second
+// waitTimeout is how long a test waits for an expected event before it fails.
+const waitTimeout = 20 * time.Second
 
-// program starts the program with a configuration, and with so many descriptors, and returns its address.
-func program(t *testing.T, text string, descriptors int) (cmd *exec.Cmd, addr string) {
+// startProgram starts the program with a configuration and a limit on open file descriptors. It returns the process and
+// the address that the program listens on, once it serves.
+func startProgram(t *testing.T, configText string, descriptors int) (cmd *exec.Cmd, addr string) {
 	t.Helper()
 	cmd = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %q", descriptors, os.Args[0]))
-	cmd.Env = append(os.Environ(), "HERONTILLER_AS_PROGRAM=1", "NODE_CONFIG="+write(t, text))
-	log, err := cmd.StderrPipe()
+	cmd.Env = append(os.Environ(), "HERONTILLER_AS_PROGRAM=1", "NODE_CONFIG="+writeConfig(t, configText))
+	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,170 +38,176 @@
 		cmd.Process.Kill()
 		cmd.Wait()
 	})
-	serving := regexp.MustCompile(`msg=serving .*listen=(\S+)|INFO serving .*listen=(\S+)`)
-	found := make(chan string, 1)
+	servingLine := regexp.MustCompile(`msg=serving .*listen=(\S+)|INFO serving .*listen=(\S+)`)
+	addrs := make(chan string, 1)
 	go func() {
-		for scan := bufio.NewScanner(log); scan.Scan(); {
-			if m := serving.FindStringSubmatch(scan.Text()); m != nil {
-				found <- m[1] + m[2]
+		for scanner := bufio.NewScanner(stderr); scanner.Scan(); {
+			if match := servingLine.FindStringSubmatch(scanner.Text()); match != nil {
+				addrs <- match[1] + match[2]
 			}
 		}
-		close(found)
+		close(addrs)
 	}()
 	select {
-	case addr = <-found:
-	case <-time.After(patient):
+	case addr = <-addrs:
+	case <-time.After(waitTimeout):
 	}
 	if addr == "" {
-		t.Fatal("the program does not serve")
+		t.Fatal("the program did not start serving")
 	}
 	return cmd, addr
 }
 
-// silentAddr is an address at which connections come up and nothing is ever said.
+// silentAddr returns an address that accepts connections and never responds.
 func silentAddr(t *testing.T) string {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
-	return ln.Addr().String()
+	t.Cleanup(func() { listener.Close() })
+	return listener.Addr().String()
 }
 
-// An instance that starts with the longest lists of the pages, 1,024 instances and 1,024 backends, indented, and with
-// discovery down, is ready within the 10 s of the operators.
-func TestReadyWithLongListsAndNoDiscovery(t *testing.T) {
-	var file map[string]any
-	if err := json.Unmarshal([]byte(fmt.Sprintf(config, "127.0.0.1:0", silentAddr(t))), &file); err != nil {
+// An instance must be ready within 10 s, the operators' limit, even if discovery is down and the configuration file is
+// as long as the specification allows: a fleet of 1,024 instances and a list of 1,024 backends, indented.
+func TestReadyWithin10sWithMaxListsAndNoDiscovery(t *testing.T) {
+	var configJSON map[string]any
+	if err := json.Unmarshal([]byte(fmt.Sprintf(configFormat, "127.0.0.1:0", silentAddr(t))), &configJSON); err != nil {
 		t.Fatal(err)
 	}
 	var hosts []any
 	for i := range 1024 {
-		hosts = append(hosts, map[string]any{"host": fmt.Sprintf("s-%032x", i), "dial": fmt.Sprintf("127.0.%d.%d:8443", 1+i/250, 1+i%250),
+		hosts = append(hosts, map[string]any{"host": fmt.Sprintf("s-%032x", i),
+			"dial": fmt.Sprintf("127.0.%d.%d:8443", 1+i/250, 1+i%250),
 			"site": "zone", "class": "kind", "block": i, "health": "Ready", "share": 1, "born_ms": 1790000000000})
 	}
-	file["known"] = map[string]any{"seq": 7, "whole": true, "hosts": hosts}
-	file["settings"].(map[string]any)["balancers"] = 1024
-	file["settings"].(map[string]any)["me"] = 1023
-	text, err := json.MarshalIndent(file, "", strings.Repeat(" ", 8))
+	configJSON["known"] = map[string]any{"seq": 7, "whole": true, "hosts": hosts}
+	configJSON["settings"].(map[string]any)["balancers"] = 1024
+	configJSON["settings"].(map[string]any)["me"] = 1023
+	configText, err := json.MarshalIndent(configJSON, "", strings.Repeat(" ", 8))
 	if err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
-	_, addr := program(t, string(text), 256)
+	_, addr := startProgram(t, string(configText), 256)
 	client := &http.Client{Timeout: 10 * time.Second}
-	res, err := client.Get("http://" + addr + "/ready")
+	response, err := client.Get("http://" + addr + "/ready")
 	if err != nil {
 		t.Fatal(err)
 	}
-	res.Body.Close()
-	if took := time.Since(start); res.StatusCode != http.StatusOK || took > 10*time.Second {
-		t.Errorf("%s after %v", res.Status, took)
+	response.Body.Close()
+	if elapsed := time.Since(start); response.StatusCode != http.StatusOK || elapsed > 10*time.Second {
+		t.Errorf("GET /ready returned %s after %v, want 200 OK within 10s", response.Status, elapsed)
 	}
 }
 
-// Idle clients that take every descriptor they can while discovery is down cost neither the watch that comes back, nor
-// an attempt, nor a client with a request; and clients that all have a request open cost the watch nothing.
-func TestIdleClientsLeaveDescriptors(t *testing.T) {
-	const descriptors, firstHeld = 256, 0x1000
-	var up atomic.Bool
+// Client connections must not exhaust the file descriptors of the program. Idle clients open as many connections as
+// they can while discovery is down. Afterwards the program must still be able to watch discovery, to accept a client
+// with a request and to send an attempt. It must also be able to watch again while all clients have requests in flight.
+func TestClientsLeaveDescriptorsForDiscoveryAndBackends(t *testing.T) {
+	const descriptors, firstBlockedID = 256, 0x1000 // the backend blocks requests with IDs from firstBlockedID on
+	var discoveryUp atomic.Bool
 	var backendAddr atomic.Value
-	watches := make(chan func(), 1000) // each ends a watch
+	watchEnds := make(chan func(), 1000) // receives for each watch a function that ends it
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !up.Load() {
+		if !discoveryUp.Load() {
 			<-r.Context().Done()
 			return
 		}
-		fmt.Fprintf(w, `{"seq":2,"whole":true,"hosts":[{"host":"s-1","dial":"%s","health":"Ready","share":1}]}`+"\n", backendAddr.Load())
+		fmt.Fprintf(w, `{"seq":2,"whole":true,"hosts":[{"host":"s-1","dial":"%s","health":"Ready","share":1}]}`+"\n",
+			backendAddr.Load())
 		w.(http.Flusher).Flush()
-		end := make(chan bool)
-		watches <- func() { close(end) }
+		watchDone := make(chan bool)
+		watchEnds <- func() { close(watchDone) }
 		select {
-		case <-end:
+		case <-watchDone:
 		case <-r.Context().Done():
 		}
 	}))
 	defer discovery.Close()
-	held := make(chan bool)
-	attempts := make(chan bool, 1000)
+	release := make(chan bool)
+	blockedAttempts := make(chan bool, 1000)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get("Request-Id") >= fmt.Sprintf("%016x", firstHeld) {
-			attempts <- true
-			<-held
+		if r.Header.Get("Request-Id") >= fmt.Sprintf("%016x", firstBlockedID) {
+			blockedAttempts <- true
+			<-release
 		}
 		io.WriteString(w, "done")
 	}))
 	defer backend.Close()
-	defer close(held)
+	defer close(release)
 	backendAddr.Store(strings.TrimPrefix(backend.URL, "http://"))
 
-	text := fmt.Sprintf(config, "127.0.0.1:0", strings.TrimPrefix(discovery.URL, "http://"))
-	text = strings.Replace(text, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, descriptors), 1)
-	text = strings.Replace(text, `"units_per_s":5,"burst":5`, `"units_per_s":1000,"burst":1000`, 1)
-	text = strings.Replace(text, `"goal_time_us":1000000,"deadline_us":2000000`, `"goal_time_us":60000000,"deadline_us":60000000`, 1)
-	cmd, addr := program(t, text, descriptors)
+	configText := fmt.Sprintf(configFormat, "127.0.0.1:0", strings.TrimPrefix(discovery.URL, "http://"))
+	configText = strings.Replace(configText, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, descriptors), 1)
+	configText = strings.Replace(configText, `"units_per_s":5,"burst":5`, `"units_per_s":1000,"burst":1000`, 1)
+	configText = strings.Replace(configText, `"goal_time_us":1000000,"deadline_us":2000000`,
+		`"goal_time_us":60000000,"deadline_us":60000000`, 1)
+	cmd, addr := startProgram(t, configText, descriptors)
 
-	connect := func(n int) (conns []net.Conn) {
-		for range n {
-			c, err := net.Dial("tcp", addr)
+	connectClients := func(count int) (conns []net.Conn) {
+		for range count {
+			conn, err := net.Dial("tcp", addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { c.Close() })
-			conns = append(conns, c)
+			t.Cleanup(func() { conn.Close() })
+			conns = append(conns, conn)
 		}
 		return conns
 	}
-	request := func(c net.Conn, id int) {
-		fmt.Fprintf(c, "GET /c HTTP/1.1\r\nHost: h\r\nRequest-Id: %016x\r\nRequest-Class: c\r\nX-Tier: p\r\n"+
+	sendRequest := func(conn net.Conn, id int) {
+		fmt.Fprintf(conn, "GET /c HTTP/1.1\r\nHost: h\r\nRequest-Id: %016x\r\nRequest-Class: c\r\nX-Tier: p\r\n"+
 			"X-Api-Key: 0000000000000001\r\nRequest-Timeout: 50\r\nX-Call-Terms: units=1,spread=1,first=0\r\n\r\n", id)
 	}
-	awaitWatch := func() (end func()) {
+	awaitWatch := func() (endWatch func()) {
 		t.Helper()
 		select {
-		case end = <-watches:
-		case <-time.After(patient):
-			t.Fatal("discovery was not asked again")
+		case endWatch = <-watchEnds:
+		case <-time.After(waitTimeout):
+			t.Fatal("discovery received no new watch request")
 		}
-		return end
+		return endWatch
 	}
 
-	connect(2 * descriptors)
-	up.Store(true)
-	end := awaitWatch()
-	// The list has been written by now, but may not have been taken in: until then there is no backend to send to.
-	for id, until := 0xa1, time.Now().Add(patient); ; id++ {
-		client := connect(1)[0]
-		request(client, id)
-		client.SetReadDeadline(until)
-		res, err := http.ReadResponse(bufio.NewReader(client), nil)
-		if err == nil && res.StatusCode == http.StatusOK {
+	connectClients(2 * descriptors)
+	discoveryUp.Store(true)
+	endWatch := awaitWatch()
+	// Discovery has written the list, but the program may not have applied it yet. Until then it has no backend and
+	// responds with 503.
+	for id, deadline := 0xa1, time.Now().Add(waitTimeout); ; id++ {
+		client := connectClients(1)[0]
+		sendRequest(client, id)
+		client.SetReadDeadline(deadline)
+		response, err := http.ReadResponse(bufio.NewReader(client), nil)
+		if err == nil && response.StatusCode == http.StatusOK {
 			break
 		}
-		if err != nil || res.StatusCode != http.StatusServiceUnavailable || time.Now().After(until) || id == firstHeld-1 {
-			t.Fatalf("a client with a request behind the idle ones was answered %v, %v", res, err)
+		if err != nil || response.StatusCode != http.StatusServiceUnavailable || time.Now().After(deadline) ||
+			id == firstBlockedID-1 {
+			t.Fatalf("request of a client that connected after the idle ones: got response %v, error %v", response, err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 
-	for i, c := range connect(2 * descriptors) {
-		request(c, firstHeld+i)
+	for i, conn := range connectClients(2 * descriptors) {
+		sendRequest(conn, firstBlockedID+i)
 	}
 	for range descriptors / 4 {
 		select {
-		case <-attempts:
-		case <-time.After(patient):
-			t.Fatal("too few attempts were made")
+		case <-blockedAttempts:
+		case <-time.After(waitTimeout):
+			t.Fatal("the backend received too few attempts")
 		}
 	}
-	end()
+	endWatch()
 	awaitWatch()
-	open, err := os.ReadDir(filepath.Join("/proc", fmt.Sprint(cmd.Process.Pid), "fd"))
+	openDescriptors, err := os.ReadDir(filepath.Join("/proc", fmt.Sprint(cmd.Process.Pid), "fd"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(open) >= descriptors {
-		t.Errorf("%d descriptors are open, %d may be", len(open), descriptors)
+	if len(openDescriptors) >= descriptors {
+		t.Errorf("%d descriptors are open, want fewer than %d", len(openDescriptors), descriptors)
 	}
 }
--- a/cmd/herontiller/main.go
+++ b/cmd/herontiller/main.go
@@ -1,5 +1,6 @@
-// Command herontiller is one gateway instance on real sockets. It is configured by the file that NODE_CONFIG names and
-// serves until SIGTERM. SIGHUP makes it read the file again and watch the discovery that it names then.
+// Command herontiller runs one gateway instance over HTTP. It reads its configuration from the file that NODE_CONFIG
+// names and serves until SIGTERM or SIGINT. On SIGHUP it reads the file again and watches the discovery service that
+// the file names.
 package main
 
 import (
@@ -20,7 +21,7 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	hup := make(chan os.Signal, 1) // one pending signal suffices: the file is read after it
+	hup := make(chan os.Signal, 1) // one pending signal suffices, as the file is read after it is received
 	signal.Notify(hup, syscall.SIGHUP)
 	if err := run(ctx, os.Getenv("NODE_CONFIG"), hup); err != nil {
 		fmt.Fprintln(os.Stderr, "herontiller:", err)
@@ -28,13 +29,16 @@
 	}
 }
 
+// run serves with the configuration file at path until ctx ends. Each signal received from hup reloads the address of
+// discovery from the file.
 func run(ctx context.Context, path string, hup <-chan os.Signal) error {
 	config, err := frontdoor.LoadConfig(path)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(config.Limits.Cores))))
-	debug.SetMemoryLimit(config.Limits.MemoryMB << 20 / 4 * 3) // the last quarter is for stacks, sockets and the program
+	// The remaining quarter is for stacks, sockets and the program itself.
+	debug.SetMemoryLimit(config.Limits.MemoryMB << 20 / 4 * 3)
 	backends := frontdoor.NewBackends(config)
 	loop, err := frontdoor.NewLoop(config, backends)
 	if err != nil {
@@ -44,20 +48,20 @@
 	if err != nil {
 		return err
 	}
-	watching, stopWatching := context.WithCancel(context.Background())
+	watchCtx, stopWatching := context.WithCancel(context.Background())
 	defer stopWatching()
-	moves := make(chan string)
-	go frontdoor.Follow(watching, config, moves, loop.Update)
-	go reload(watching, path, hup, moves)
+	discoveryAddrs := make(chan string)
+	go frontdoor.Follow(watchCtx, config, discoveryAddrs, loop.Update)
+	go reload(watchCtx, path, hup, discoveryAddrs)
 	slog.Info("serving", "name", config.Name, "listen", listener.Addr(), "backends", len(config.Known.Hosts))
 	err = frontdoor.NewClients(config, loop).Run(ctx, listener)
 	slog.Info("ended", "err", err)
 	return err
 }
 
-// reload reads the file again at each SIGHUP and passes on the address of discovery. An invalid file changes nothing.
-// All else in the file takes effect at the next start only.
-func reload(ctx context.Context, path string, hup <-chan os.Signal, moves chan<- string) {
+// reload reads the configuration file again on each SIGHUP and sends the address of discovery to discoveryAddrs. An
+// invalid file is logged and changes nothing. Other changes in the file take effect only at the next start.
+func reload(ctx context.Context, path string, hup <-chan os.Signal, discoveryAddrs chan<- string) {
 	for {
 		select {
 		case <-hup:
@@ -66,12 +70,12 @@
 		}
 		config, err := frontdoor.LoadConfig(path)
 		if err != nil {
-			slog.Warn("the new configuration is no good, the old one stays", "err", err)
+			slog.Warn("invalid configuration, keeping the current one", "err", err)
 			continue
 		}
 		slog.Info("configuration reloaded", "discovery", config.Discovery)
 		select {
-		case moves <- config.Discovery:
+		case discoveryAddrs <- config.Discovery:
 		case <-ctx.Done():
 			return
 		}
