--- a/internal/frontdoor/backends.go
+++ b/internal/frontdoor/backends.go
@@ -85,11 +85,11 @@
 
 // NewBackends returns Backends with an empty list.
 func NewBackends(config Config) *Backends {
-	dialer := &net.Dialer{Timeout: config.Connections.Connect, KeepAlive: -1}
+	dialer := &net.Dialer{Timeout: config.Connections.ConnectTimeout, KeepAlive: -1}
 	b := &Backends{requestLoad: len(config.Settings.LoadColumns) > 0,
 		failureLog: rate.Sometimes{First: 10, Interval: time.Second},
 		pool: newPool(dialer.DialContext, config.Limits.backendConns(),
-			time.Duration(maxIdleFraction*float64(config.Connections.Idle))),
+			time.Duration(maxIdleFraction*float64(config.Connections.IdleTimeout))),
 		byHost: map[string]*backend{}, byID: map[gateway.BackendID]*backend{}}
 	for _, name := range config.Settings.LoadColumns {
 		if headerName, ok := loadHeaderNames[name]; ok {
--- a/internal/frontdoor/config.go
+++ b/internal/frontdoor/config.go
@@ -42,7 +42,7 @@
 	Limits      Limits
 	SavedList   EndpointList // the last list of backends that this gateway had received
 	Settings    gateway.Settings
-	Connections wire.Connections
+	Connections wire.ConnectionSettings
 }
 
 // LoadConfig reads and validates the configuration file at path, the value of NODE_CONFIG. Errors include the path.
@@ -95,7 +95,7 @@
 	if err := settings.Validate(); err != nil {
 		return Config{}, err
 	}
-	if connections.Idle <= 0 || connections.Connect <= 0 {
+	if connections.IdleTimeout <= 0 || connections.ConnectTimeout <= 0 {
 		return Config{}, errors.New(`"conn_idle_us" and "connect_timeout_us" in the settings must be above 0`)
 	}
 	return Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Seed: seed,
--- a/internal/frontdoor/loop.go
+++ b/internal/frontdoor/loop.go
@@ -103,7 +103,7 @@
 	if !config.Settings.AskForList {
 		return 0
 	}
-	return max(stalenessBound/2, stalenessBound-leaseMargin-config.Connections.Connect)
+	return max(stalenessBound/2, stalenessBound-leaseMargin-config.Connections.ConnectTimeout)
 }
 
 // NewLoop returns a Loop with a new gateway that has the saved list of the configuration. Errors are those of
