--- a/cmd/scalelab/main.go
+++ b/cmd/scalelab/main.go
@@ -1,4 +1,5 @@
-// Command scalelab measures how the cost of a gateway grows with the size of the system around it. See package scalelab.
+// Command scalelab measures how the cost of a gateway grows with the size of the system around it. See package
+// scalelab.
 package main
 
 import (
@@ -18,20 +19,20 @@
 	"herontiller/internal/scalelab"
 )
 
-// arguments are the command line's.
+// arguments holds the command-line arguments. Kong derives the names of the flags from the field names.
 type arguments struct {
-	Experiments   []string      `arg:"" optional:"" help:"What to play: ${experiments}. All without one."`
-	Seed          uint64        `default:"1" help:"Seed of all that is drawn."`
-	Repeats       int           `default:"3" help:"Repeats of each size of a slope."`
-	Gateways      int           `default:"3900" help:"Hollow gateways at once."`
-	SumsBackends  int           `default:"1000" help:"Backends that each of them knows."`
-	ChurnGateways int           `default:"6" help:"Hollow gateways that know all 51,000 backends through a day's changes."`
-	Watches       int           `default:"1000" help:"Gateways that follow discovery on real sockets."`
-	Listed        []int         `default:"40,1000,51000" help:"Backends that are listed on real sockets."`
+	Experiments   []string      `arg:"" optional:"" help:"Experiments to run: ${experiments}. Default: all."`
+	Seed          uint64        `default:"1" help:"Seed of the random numbers."`
+	Repeats       int           `default:"3" help:"Measurements of each size of a slope."`
+	Gateways      int           `default:"3900" help:"Hollow gateways of the quota, sums and churn experiments."`
+	SumsBackends  int           `default:"1000" help:"Backends of the sums experiment."`
+	ChurnGateways int           `default:"6" help:"Hollow gateways of the churn experiment with all 51,000 backends."`
+	Watches       int           `default:"1000" help:"Gateways that watch discovery on real sockets."`
+	Listed        []int         `default:"40,1000,51000" help:"Lengths of the backend lists on real sockets."`
 	SocketTime    time.Duration `default:"10s" help:"How long requests are measured on real sockets."`
-	Limit         time.Duration `default:"30m" help:"The run is cut short after this time, and says so."`
-	JSON          string        `name:"json" placeholder:"FILE" help:"Write the report as JSON here as well."`
-	Logs          bool          `help:"Show the gateways' own logs."`
+	Limit         time.Duration `default:"30m" help:"Time after which the run is cut short and reported as such."`
+	JSON          string        `name:"json" placeholder:"FILE" help:"Also write the report to this file as JSON."`
+	Logs          bool          `help:"Show the logs of the gateways."`
 }
 
 func main() {
@@ -49,13 +50,15 @@
 	}
 }
 
+// run runs the experiments and writes the report, also if the run fails or is cut short.
 func run(ctx context.Context, args arguments, out, progressOut io.Writer) error {
 	if args.Limit <= 0 {
-		return fmt.Errorf("a limit of %v leaves no time", args.Limit)
+		return fmt.Errorf("a limit of %v: must be positive", args.Limit)
 	}
 	ctx, cancel := context.WithTimeout(ctx, args.Limit)
 	defer cancel()
-	options := scalelab.Options{Experiments: args.Experiments, Seed: args.Seed, Repeats: args.Repeats, Gateways: args.Gateways,
+	options := scalelab.Options{Experiments: args.Experiments, Seed: args.Seed, Repeats: args.Repeats,
+		Gateways:     args.Gateways,
 		SumsBackends: args.SumsBackends, ChurnGateways: args.ChurnGateways, Watches: args.Watches, Listed: args.Listed,
 		SocketTime: args.SocketTime}
 	if len(options.Experiments) == 0 {
--- a/cmd/scalelab/main_test.go
+++ b/cmd/scalelab/main_test.go
@@ -11,12 +11,13 @@
 )
 
 func testArguments() arguments {
-	return arguments{Experiments: []string{"quota"}, Seed: 1, Repeats: 1, Gateways: 1000, SumsBackends: 10, ChurnGateways: 3,
-		Watches: 1, SocketTime: time.Second, Limit: time.Nanosecond}
+	return arguments{Experiments: []string{"quota"}, Seed: 1, Repeats: 1, Gateways: 1000, SumsBackends: 10,
+		ChurnGateways: 3,
+		Watches:       1, SocketTime: time.Second, Limit: time.Nanosecond}
 }
 
-// A run that its limit ends fails, and its table and JSON say that they are not whole.
-func TestLimitIsSaid(t *testing.T) {
+// A run that exceeds its time limit returns an error, and marks its table and its JSON report as cut short.
+func TestExceededLimitIsReported(t *testing.T) {
 	args := testArguments()
 	args.JSON = filepath.Join(t.TempDir(), "report.json")
 	var table bytes.Buffer
@@ -25,19 +26,19 @@
 		t.Errorf("error %v, table %.60q", err, table.String())
 	}
 	if text, err := os.ReadFile(args.JSON); err != nil || !strings.Contains(string(text), `"cut_short": "quota`) {
-		t.Errorf("JSON %.200q, %v", text, err)
+		t.Errorf("JSON report %.200q, error %v", text, err)
 	}
 }
 
-func TestArgumentsThatCannotBePlayed(t *testing.T) {
+func TestInvalidArgumentsAreRejected(t *testing.T) {
 	args := testArguments()
 	args.Limit = 0
 	if err := run(t.Context(), args, io.Discard, io.Discard); err == nil {
-		t.Error("a run without time is played")
+		t.Error("a limit of 0 was accepted")
 	}
 	args = testArguments()
 	args.Experiments = []string{"nonsense"}
 	if err := run(t.Context(), args, io.Discard, io.Discard); err == nil || !strings.Contains(err.Error(), "nonsense") {
-		t.Errorf("error %v", err)
+		t.Errorf("unknown experiment: error %v", err)
 	}
 }
--- a/cmd/standin/environment.go
+++ b/cmd/standin/environment.go
@@ -9,18 +9,19 @@
 	"herontiller/internal/scalelab"
 )
 
-const mostBackends = 1000 // each holds a listening socket
+const maxBackends = 1000 // each uses a listening socket
 
-// environment is what a gateway needs around it.
+// environment holds the backends and the discovery agent that a gateway needs.
 type environment struct {
 	servers *scalelab.Servers
 	agent   *scalelab.Agent
 }
 
-// startEnvironment starts so many backends and an agent that lists them at a loopback address, host:port.
+// startEnvironment starts a number of backends, and an agent that lists them at the discovery address. The address has
+// the form host:port and must be on the loopback interface.
 func startEnvironment(discovery string, backends int) (*environment, error) {
-	if backends < 1 || backends > mostBackends {
-		return nil, fmt.Errorf("%d backends: from 1 to %d can be started", backends, mostBackends)
+	if backends < 1 || backends > maxBackends {
+		return nil, fmt.Errorf("%d backends: must be between 1 and %d", backends, maxBackends)
 	}
 	address, err := netip.ParseAddrPort(discovery)
 	if err != nil {
@@ -46,17 +47,18 @@
 	return &environment{servers: servers, agent: agent}, nil
 }
 
-// endpoints lists backends at the addresses, all ready and started long ago.
+// endpoints returns a list of backends at the addresses. All are ready and have been running long enough to be warm.
 func endpoints(addresses []string) []frontdoor.Endpoint {
 	hosts := make([]frontdoor.Endpoint, len(addresses))
 	for i, address := range addresses {
-		hosts[i] = frontdoor.Endpoint{Host: fmt.Sprintf("backend-%d", i+1), Dial: address, Site: "zone-a", Class: "standin",
+		hosts[i] = frontdoor.Endpoint{Host: fmt.Sprintf("backend-%d", i+1), Dial: address, Site: "zone-a",
+			Class: "standin",
 			Block: i, Health: "Ready", Share: 1}
 	}
 	return hosts
 }
 
-// stop ends the agent and the backends.
+// stop stops the agent and the backends.
 func (e *environment) stop() {
 	e.agent.Stop()
 	e.servers.Stop()
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin starts what a gateway needs around it, on the loopback interface: stand-in backends that answer at once,
-// and a discovery agent that lists them at the address that a configuration file of the gateway names. It prints the
-// command that starts the gateway and a request to try, and serves until it is interrupted.
+// Command standin starts the environment of a gateway on the loopback interface: stand-in backends that answer
+// immediately, and a discovery agent that lists them, at the discovery address of the gateway's configuration file. It
+// prints the command that starts the gateway and an example request, and serves until it is interrupted.
 package main
 
 import (
@@ -16,10 +16,10 @@
 	"herontiller/internal/frontdoor"
 )
 
-// arguments are the command line's.
+// arguments holds the command-line arguments. Kong derives the names of the flags from the field names.
 type arguments struct {
 	Config   string `arg:"" default:"deploy/example.json" help:"Configuration file of the gateway (default: ${default})."`
-	Backends int    `default:"4" help:"Stand-in backends (default: ${default})."`
+	Backends int    `default:"4" help:"Number of stand-in backends (default: ${default})."`
 }
 
 func main() {
@@ -34,6 +34,7 @@
 	}
 }
 
+// run starts the environment of a configuration file, prints the commands and serves until ctx ends.
 func run(ctx context.Context, args arguments, out io.Writer) error {
 	config, err := frontdoor.LoadConfig(args.Config)
 	if err != nil {
--- a/cmd/standin/main_test.go
+++ b/cmd/standin/main_test.go
@@ -18,7 +18,7 @@
 
 const exampleFile = "../../deploy/example.json"
 
-// loadExample loads the example with ports that are free.
+// loadExample loads the example configuration with ports that the system assigns.
 func loadExample(t *testing.T) frontdoor.Config {
 	t.Helper()
 	config, err := frontdoor.LoadConfig(exampleFile)
@@ -29,7 +29,7 @@
 	return config
 }
 
-// startGateway serves a configuration as the program does, and returns its address.
+// startGateway runs a gateway with the configuration, as the program does, and returns its address.
 func startGateway(t *testing.T, config frontdoor.Config) string {
 	t.Helper()
 	loop, err := frontdoor.NewLoop(config, frontdoor.NewBackends(config))
@@ -60,12 +60,12 @@
 	select {
 	case <-listed:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the stand-in's agent sent no list")
+		t.Fatal("no list from the stand-in agent within 20 s")
 	}
 	return listener.Addr().String()
 }
 
-func TestExampleIsServed(t *testing.T) {
+func TestGatewayAnswersExampleRequest(t *testing.T) {
 	config := loadExample(t)
 	environment, err := startEnvironment(config.Discovery, 4)
 	if err != nil {
@@ -88,13 +88,13 @@
 		body, err := io.ReadAll(response.Body)
 		response.Body.Close()
 		if response.StatusCode != http.StatusOK || string(body) != "ok" || err != nil {
-			t.Errorf("request %d: %s, %q, %v, want 200 and the stand-in's body", id+1, response.Status, body, err)
+			t.Errorf("request %d: %s, %q, %v, want 200 and \"ok\"", id+1, response.Status, body, err)
 		}
 	}
 }
 
-// The README shows the commands; they have to be those of the example.
-func TestREADMEShowsTheExample(t *testing.T) {
+// The commands in the README must be those that standin prints for the example configuration.
+func TestREADMEShowsExampleCommands(t *testing.T) {
 	text, err := os.ReadFile("../../README.md")
 	if err != nil {
 		t.Fatal(err)
@@ -107,7 +107,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"    bin/standin deploy/example.json\n", "    NODE_CONFIG=deploy/example.json bin/herontiller\n",
+	for _, want := range []string{"    bin/standin deploy/example.json\n",
+		"    NODE_CONFIG=deploy/example.json bin/herontiller\n",
 		"\n" + curlCommand(request) + "\n"} {
 		if !strings.Contains(string(text), want) {
 			t.Errorf("README.md does not show\n%s", want)
@@ -115,7 +116,7 @@
 	}
 }
 
-func TestRunPrintsTheCommands(t *testing.T) {
+func TestRunPrintsCommands(t *testing.T) {
 	text, err := os.ReadFile(exampleFile)
 	if err != nil {
 		t.Fatal(err)
@@ -134,33 +135,34 @@
 	for _, want := range []string{"2 backends; discovery at 127.0.0.1:", "NODE_CONFIG=" + path + " bin/herontiller",
 		"curl -i http://127.0.0.1:8443/read/1"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("it printed\n%s\nwithout %q", out.String(), want)
+			t.Errorf("output\n%s\ndoes not contain %q", out.String(), want)
 		}
 	}
 }
 
-func TestWhatItCannotStartWith(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+func TestStartFailsOnInvalidInput(t *testing.T) {
+	inUse, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	for _, c := range []struct {
+	defer inUse.Close()
+	for _, test := range []struct {
 		name, discovery string
 		backends        int
 	}{
 		{"no backends", "127.0.0.1:0", 0},
-		{"too many backends", "127.0.0.1:0", mostBackends + 1},
-		{"no address", "discovery", 1},
-		{"every interface", "0.0.0.0:0", 1},
-		{"an address that is taken", taken.Addr().String(), 1},
+		{"too many backends", "127.0.0.1:0", maxBackends + 1},
+		{"invalid address", "discovery", 1},
+		{"all interfaces", "0.0.0.0:0", 1},
+		{"address in use", inUse.Addr().String(), 1},
 	} {
-		if environment, err := startEnvironment(c.discovery, c.backends); err == nil {
+		if environment, err := startEnvironment(test.discovery, test.backends); err == nil {
 			environment.stop()
-			t.Errorf("%s: it started", c.name)
+			t.Errorf("%s: the environment started", test.name)
 		}
 	}
-	if err := run(context.Background(), arguments{Config: filepath.Join(t.TempDir(), "none"), Backends: 1}, io.Discard); err == nil {
-		t.Error("it started without a configuration")
+	if err := run(context.Background(), arguments{Config: filepath.Join(t.TempDir(), "none"),
+		Backends: 1}, io.Discard); err == nil {
+		t.Error("it started without a configuration file")
 	}
 }
--- a/cmd/standin/request.go
+++ b/cmd/standin/request.go
@@ -12,8 +12,8 @@
 
 var errNoSafeClass = errors.New("the configuration has no class that is safe to repeat")
 
-// exampleRequest returns a request that a gateway of the configuration admits: of its first class that is safe to repeat
-// and of its first plan.
+// exampleRequest returns a request that a gateway with the configuration admits. It belongs to the first class that is
+// safe to repeat and to the first plan.
 func exampleRequest(config frontdoor.Config) (*http.Request, error) {
 	for _, class := range config.Settings.Classes {
 		if class.Effect != gateway.Safe {
@@ -31,11 +31,12 @@
 	return nil, errNoSafeClass
 }
 
-// curlCommand writes the request as a command, in lines that are indented by four spaces.
+// curlCommand returns the request as a curl command, in lines indented by four spaces.
 func curlCommand(request *http.Request) string {
 	var command strings.Builder
 	fmt.Fprintf(&command, "    curl -i %s", request.URL)
-	for i, name := range []string{"Request-Id", "Request-Class", "X-Tier", "X-Api-Key", "Request-Timeout", "X-Call-Terms"} {
+	for i, name := range []string{"Request-Id", "Request-Class", "X-Tier",
+		"X-Api-Key", "Request-Timeout", "X-Call-Terms"} {
 		if i%2 == 0 {
 			command.WriteString(" \\\n     ")
 		}
--- a/internal/scalelab/agent.go
+++ b/internal/scalelab/agent.go
@@ -11,24 +11,25 @@
 	"herontiller/internal/frontdoor"
 )
 
-// Agent is a stand-in for discovery's agents on a real socket of the loopback interface. It answers the whole list and
-// watches, as the protocol says.
+// Agent is a stand-in for a discovery agent on a loopback socket. It serves the whole list and watches according to the
+// discovery protocol.
 type Agent struct {
 	Address string
 	server  *http.Server
 
-	mu       sync.Mutex
-	sequence int64
-	whole    []byte // the list's line
-	changed  chan struct{}
-	last     []byte // the line of the last change
-	watches  map[chan struct{}]bool
-	wholes   int // whole lists sent
+	mu            sync.Mutex
+	version       int64
+	fullList      []byte                 // encoded, with its newline
+	changed       chan struct{}          // closed at the next change
+	lastChange    []byte                 // encoded, with its newline
+	watches       map[chan struct{}]bool // closing a key aborts its watch
+	fullListsSent int
 }
 
-const heartbeat = 2 * time.Second
+// heartbeatInterval is the interval of the empty lines that an idle watch sends.
+const heartbeatInterval = 2 * time.Second
 
-// StartAgent serves a list at a free port.
+// StartAgent serves a list on a free port of the loopback interface.
 func StartAgent(hosts []frontdoor.Endpoint) (*Agent, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,12 +38,12 @@
 	return ServeAgent(listener, hosts)
 }
 
-// ServeAgent serves a list at an address that is given. It takes the listener over.
+// ServeAgent serves a list on the listener. It takes ownership of the listener, also if it fails.
 func ServeAgent(listener net.Listener, hosts []frontdoor.Endpoint) (*Agent, error) {
-	agent := &Agent{Address: listener.Addr().String(), sequence: 1, changed: make(chan struct{}),
+	agent := &Agent{Address: listener.Addr().String(), version: 1, changed: make(chan struct{}),
 		watches: map[chan struct{}]bool{}}
 	var err error
-	if agent.whole, err = listLine(1, true, hosts); err != nil {
+	if agent.fullList, err = encodeList(1, true, hosts); err != nil {
 		listener.Close()
 		return nil, err
 	}
@@ -51,69 +52,74 @@
 	return agent, nil
 }
 
-func listLine(sequence int64, whole bool, hosts []frontdoor.Endpoint) ([]byte, error) {
+// encodeList returns a list in the wire format of discovery, with its newline.
+func encodeList(sequence int64, whole bool, hosts []frontdoor.Endpoint) ([]byte, error) {
 	text, err := json.Marshal(frontdoor.EndpointList{Seq: sequence, Whole: whole, Hosts: hosts})
 	return append(text, '\n'), err
 }
 
-// Stop ends all that the agent serves.
+// Stop closes the listener and all connections.
 func (a *Agent) Stop() { a.server.Close() }
 
-// Change tells all watches of a changed entry. The whole list stays as it was: the lab asks for it at the start only.
-func (a *Agent) Change(host frontdoor.Endpoint) error {
+// PublishChange sends a changed entry to all watches. It does not update the whole list, which gateways request only at
+// their start.
+func (a *Agent) PublishChange(host frontdoor.Endpoint) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	text, err := listLine(a.sequence+1, false, []frontdoor.Endpoint{host})
+	text, err := encodeList(a.version+1, false, []frontdoor.Endpoint{host})
 	if err != nil {
 		return err
 	}
-	a.sequence++
-	a.last = text
+	a.version++
+	a.lastChange = text
 	close(a.changed)
 	a.changed = make(chan struct{})
 	return nil
 }
 
-// CutWatches ends all watches at the same moment.
-func (a *Agent) CutWatches() int {
+// CloseWatches breaks the connections of all watches at once and returns their number.
+func (a *Agent) CloseWatches() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for end := range a.watches {
-		close(end)
+	for closed := range a.watches {
+		close(closed)
 	}
 	count := len(a.watches)
 	clear(a.watches)
 	return count
 }
 
-// Watches is how many are open.
-func (a *Agent) Watches() int {
+// WatchCount returns the number of open watches.
+func (a *Agent) WatchCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.watches)
 }
 
-// since gives what a watch that knows a version has to be told first, and the channel of the next change.
-func (a *Agent) since(from int64) ([]byte, int64, <-chan struct{}) {
+// updateSince returns the encoded update for a client at the version from, the current version and a channel that is
+// closed at the next change. The update is empty if the client is up to date, and the whole list if it has missed more
+// than the last change.
+func (a *Agent) updateSince(from int64) ([]byte, int64, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
-	case from == a.sequence:
-		return nil, a.sequence, a.changed
-	case from == a.sequence-1 && a.last != nil:
-		return a.last, a.sequence, a.changed
+	case from == a.version:
+		return nil, a.version, a.changed
+	case from == a.version-1 && a.lastChange != nil:
+		return a.lastChange, a.version, a.changed
 	}
-	a.wholes++
-	return a.whole, a.sequence, a.changed
+	a.fullListsSent++
+	return a.fullList, a.version, a.changed
 }
 
+// ServeHTTP serves the whole list, or a watch if the query asks for one.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/v1/endpoints" {
 		http.NotFound(w, r)
 		return
 	}
 	if r.URL.Query().Get("watch") == "" {
-		text, _, _ := a.since(-1)
+		text, _, _ := a.updateSince(-1)
 		_, _ = w.Write(text)
 		return
 	}
@@ -122,35 +128,36 @@
 		http.Error(w, "from: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	end := make(chan struct{})
+	closed := make(chan struct{})
 	a.mu.Lock()
-	a.watches[end] = true
+	a.watches[closed] = true
 	a.mu.Unlock()
-	a.watch(w, r, from, end)
+	a.serveWatch(w, r, from, closed)
 	a.mu.Lock()
-	delete(a.watches, end)
+	delete(a.watches, closed)
 	a.mu.Unlock()
 }
 
-func (a *Agent) watch(w http.ResponseWriter, r *http.Request, from int64, end <-chan struct{}) {
+// serveWatch sends updates and heartbeats until the client leaves or closed is closed.
+func (a *Agent) serveWatch(w http.ResponseWriter, r *http.Request, from int64, closed <-chan struct{}) {
 	flusher := w.(http.Flusher)
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
-		text, sequence, changed := a.since(from)
-		if len(text) == 0 && from == sequence {
+		text, version, changed := a.updateSince(from)
+		if len(text) == 0 && from == version {
 			text = []byte("\n")
 		}
-		from = sequence
+		from = version
 		if _, err := w.Write(text); err != nil {
 			return
 		}
 		flusher.Flush()
 		select {
 		case <-changed:
-		case <-beat.C:
-		case <-end:
-			panic(http.ErrAbortHandler) // the connection breaks
+		case <-heartbeat.C:
+		case <-closed:
+			panic(http.ErrAbortHandler) // aborts the connection
 		case <-r.Context().Done():
 			return
 		}
--- a/internal/scalelab/capacity.go
+++ b/internal/scalelab/capacity.go
@@ -6,27 +6,27 @@
 	"slices"
 )
 
-// CapacityRow compares one figure at the target with its budget.
+// CapacityRow compares one figure at the target size with its budget.
 type CapacityRow struct {
 	What   string  `json:"what"`
 	Figure float64 `json:"figure"`
 	Budget float64 `json:"budget"`
 	Unit   string  `json:"unit"`
-	Ratio  float64 `json:"ratio"` // of the figure to the budget: over 1 it does not hold
-	Basis  string  `json:"basis"` // how the figure came about
+	Ratio  float64 `json:"ratio"` // Figure over Budget; above 1 the budget is exceeded
+	Basis  string  `json:"basis"` // how the figure was obtained
 }
 
-// Bars that the operators set on growth, and figures that the rows are worked out from.
+// Limits on growth set by the operators, and constants from which the rows are computed.
 const (
-	growthBar       = 1.5 // cost at the target's backends over that at 1,000
-	evenBar         = 1.1 // load of the busiest backend over the mean
-	idleForget      = 60  // seconds after which a gateway forgets a customer
-	customersAtOnce = TargetRequestRate * idleForget
-	secondsInDay    = 24 * 60 * 60
-	entriesARestart = 3 // list changes
+	maxGrowth           = 1.5 // cost with the target's backends over the cost with 1,000
+	maxLoadRatio        = 1.1 // load of the busiest backend over the mean
+	customerIdleSeconds = 60  // after which a gateway drops the state of a customer
+	activeCustomers     = TargetRequestRate * customerIdleSeconds
+	secondsPerDay       = 24 * 60 * 60
+	entriesPerRestart   = 3 // list changes of one restart: draining, gone, ready
 )
 
-// capacity works out the rows of what was played, the worst first.
+// capacity computes the rows of all experiments that ran, highest ratio first.
 func (r *Report) capacity() []CapacityRow {
 	rows := slices.Concat(r.growthRows(), r.stateRows(), r.churnRows(), r.socketRows(), r.fleetRows())
 	for i := range rows {
@@ -36,8 +36,8 @@
 	return rows
 }
 
-// slope finds a slope by its names; nil where it was not measured.
-func (r *Report) slope(dimension, figure, unit string) *Slope {
+// findSlope returns the slope of a figure along a dimension, or nil if it was not measured.
+func (r *Report) findSlope(dimension, figure, unit string) *Slope {
 	if r.Slopes == nil {
 		return nil
 	}
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// at is the measured value at a size, 0 where there is no such point.
-func (s *Slope) at(size float64) float64 {
+// valueAt returns the measured value at a size, or 0 if the size was not measured.
+func (s *Slope) valueAt(size float64) float64 {
 	for _, point := range s.Points {
 		if point.Size == size {
 			return point.Value
@@ -59,73 +59,82 @@
 	return 0
 }
 
-// growthRows compare the cost at the target's backends with that at 1,000.
+// growthRows compares the cost with the target's backends to the cost with 1,000 backends.
 func (r *Report) growthRows() (rows []CapacityRow) {
 	for _, figure := range []string{"request and outcome", "request while 1 in 100 backends is cold", "list change",
 		"program: list change"} {
-		if slope := r.slope("backends", figure, "us"); slope != nil {
+		if slope := r.findSlope("backends", figure, "us"); slope != nil {
 			rows = append(rows, CapacityRow{What: figure + ": cost at 51,000 backends over that at 1,000",
-				Figure: slope.at(TargetBackends) / slope.at(1000), Budget: growthBar, Unit: "times", Basis: "measured"})
+				Figure: slope.valueAt(TargetBackends) / slope.valueAt(1000), Budget: maxGrowth,
+				Unit: "times", Basis: "measured"})
 		}
 	}
 	return rows
 }
 
-// added is what a dimension adds to a figure between the base of the slopes and a size, by the fitted line.
-func (r *Report) added(dimension, figure, unit string, base, size int) float64 {
-	return r.slope(dimension, figure, unit).Fit.Slope * float64(size-base)
+// addedBy returns the growth of a figure along a dimension from base to size, by the fitted line.
+func (r *Report) addedBy(dimension, figure, unit string, base, size int) float64 {
+	return r.findSlope(dimension, figure, unit).Fit.Slope * float64(size-base)
 }
 
-// stateRows add up the slopes of one gateway.
+// stateRows extrapolates the costs of one gateway to the target: the measured value with the target's backends plus
+// the growth along the other dimensions. Only customers that were active within customerIdleSeconds have state in a
+// gateway.
 func (r *Report) stateRows() (rows []CapacityRow) {
-	if r.slope("backends", "state", "bytes") == nil || r.slope("customers", "state", "bytes") == nil ||
-		r.slope("classes", "state", "bytes") == nil || r.slope("gateways", "state", "bytes") == nil {
+	if r.findSlope("backends", "state", "bytes") == nil || r.findSlope("customers", "state", "bytes") == nil ||
+		r.findSlope("classes", "state", "bytes") == nil || r.findSlope("gateways", "state", "bytes") == nil {
 		return nil
 	}
 	sum := func(figure, unit string) float64 {
-		return r.slope("backends", figure, unit).at(TargetBackends) +
-			r.added("customers", figure, unit, slopeBase.Customers, customersAtOnce) +
-			r.added("classes", figure, unit, slopeBase.Classes, TargetRoutes) +
-			r.added("gateways", figure, unit, slopeBase.Gateways, TargetGateways)
+		return r.findSlope("backends", figure, unit).valueAt(TargetBackends) +
+			r.addedBy("customers", figure, unit, slopeBase.Customers, activeCustomers) +
+			r.addedBy("classes", figure, unit, slopeBase.Classes, TargetRoutes) +
+			r.addedBy("gateways", figure, unit, slopeBase.Gateways, TargetGateways)
 	}
 	tick, request := sum("tick", "us")/1e6, sum("request and outcome", "us")
-	changes := r.slope("backends", "program: list change", "us").at(TargetBackends) / 1e6 *
-		(TargetRestarts + TargetFailures) * entriesARestart / secondsInDay
+	changes := r.findSlope("backends", "program: list change", "us").valueAt(TargetBackends) / 1e6 *
+		(TargetRestarts + TargetFailures) * entriesPerRestart / secondsPerDay
 	const megabyte = 1 << 20
-	settings := r.slope("classes", "settings", "bytes").at(TargetRoutes)
-	list := r.slope("backends", "whole list", "bytes").at(TargetBackends)
+	settings := r.findSlope("classes", "settings", "bytes").valueAt(TargetRoutes)
+	list := r.findSlope("backends", "whole list", "bytes").valueAt(TargetBackends)
 	return append(rows,
 		CapacityRow{What: "gateway: state of the decision module", Figure: sum("state", "bytes") / megabyte,
 			Budget: BudgetControlMemory / megabyte, Unit: "MB", Basis: "sum of measured slopes"},
 		CapacityRow{What: "gateway: processor time of tick and list changes", Figure: (tick + changes) * 100,
 			Budget: BudgetControlCPU * 100, Unit: "% of a core", Basis: "sum of measured slopes"},
 		CapacityRow{What: "gateway: live heap of the program with module, list and settings", Unit: "MB",
-			Figure: (sum("program: state", "bytes") + r.added("customers", "state", "bytes", 0, customersAtOnce)) / megabyte,
+			Figure: (sum("program: state", "bytes") +
+				r.addedBy("customers", "state", "bytes", 0, activeCustomers)) / megabyte,
 			Budget: BudgetControlMemory / megabyte, Basis: "sum of measured slopes"},
 		CapacityRow{What: "gateway: decision of one request while 1 in 100 backends is cold", Unit: "us",
 			Figure: sum("request while 1 in 100 backends is cold", "us"), Basis: "sum of measured slopes",
 			Budget: float64(BudgetAddedLatency.Microseconds())},
-		CapacityRow{What: "gateway: decision of one request", Figure: request, Unit: "us", Basis: "sum of measured slopes",
+		CapacityRow{What: "gateway: decision of one request", Figure: request, Unit: "us",
+			Basis:  "sum of measured slopes",
 			Budget: float64(BudgetAddedLatency.Microseconds())},
 		CapacityRow{What: "gateway: whole settings at each of 2,400 changes a day", Unit: "bytes/s",
-			Figure: settings * TargetConfigChanges / secondsInDay, Budget: BudgetControlBytes, Basis: "measured size, worked out"},
+			Figure: settings * TargetConfigChanges / secondsPerDay, Budget: BudgetControlBytes,
+			Basis: "measured size, worked out"},
 		CapacityRow{What: "gateway: seconds that a whole list takes at 8 KB a second", Unit: "s",
-			Figure: list / BudgetControlBytes, Budget: BudgetInForce.Seconds(), Basis: "measured size, worked out"},
+			Figure: list / BudgetControlBytes, Budget: BudgetPropagation.Seconds(), Basis: "measured size, worked out"},
 	)
 }
 
-// churnRows take the run with all of the target's backends, and the last gateway of the run with all gateways.
+// churnRows reports the cost of the run with all of the target's backends and the longest delays of the run with all
+// gateways.
 func (r *Report) churnRows() (rows []CapacityRow) {
 	for _, churn := range r.Churn {
 		if churn.Backends == TargetBackends {
-			rows = append(rows, CapacityRow{What: "gateway: list changes of a day, mean", Figure: churn.DayBytes / secondsInDay,
+			rows = append(rows, CapacityRow{What: "gateway: list changes of a day, mean",
+				Figure: churn.BytesPerDay / secondsPerDay,
 				Budget: BudgetControlBytes, Unit: "bytes/s", Basis: "measured"})
-			rows = append(rows, churn.worstSecond())
+			rows = append(rows, churn.peakSecondRow())
 		}
 		for _, phase := range churn.Phases {
 			if churn.Gateways == r.Options.Gateways {
 				rows = append(rows, CapacityRow{What: fmt.Sprintf("%s: in force at the last of %d gateways", phase.Name,
-					churn.Gateways), Figure: phase.LastMillis / 1000, Budget: BudgetInForce.Seconds(), Unit: "s",
+					churn.Gateways), Figure: phase.MaxDelayMillis / 1000, Budget: BudgetPropagation.Seconds(),
+					Unit:  "s",
 					Basis: "played; the stand-in's delays"})
 			}
 		}
@@ -133,45 +142,63 @@
 	return rows
 }
 
-func (c ChurnResult) worstSecond() CapacityRow {
-	worst := slices.MaxFunc(c.Phases, func(a, b *Phase) int { return cmp.Compare(a.MostBytes, b.MostBytes) })
-	return CapacityRow{What: "gateway: list changes, worst second (" + worst.Name + ")", Figure: float64(worst.MostBytes),
+// peakSecondRow reports the most bytes that a gateway received within a second, and the phase in which it did.
+func (c ChurnResult) peakSecondRow() CapacityRow {
+	worst := slices.MaxFunc(c.Phases, func(a, b *Phase) int {
+		return cmp.Compare(a.MaxBytesPerSecond, b.MaxBytesPerSecond)
+	})
+	return CapacityRow{What: "gateway: list changes, worst second (" + worst.Name + ")",
+		Figure: float64(worst.MaxBytesPerSecond),
 		Budget: BudgetControlBytes, Unit: "bytes/s", Basis: "measured"}
 }
 
+// socketRows reports the costs of a real gateway for each length of the list.
 func (r *Report) socketRows() (rows []CapacityRow) {
 	for _, socket := range r.Sockets {
-		if !socket.ListTaken {
-			rows = append(rows, CapacityRow{What: fmt.Sprintf("gateway: list of %d backends NOT TAKEN; bytes against its bound",
-				socket.Listed), Figure: float64(socket.ListBytes), Budget: listBound, Unit: "bytes", Basis: "measured"})
+		if !socket.ListApplied {
+			rows = append(rows,
+				CapacityRow{What: fmt.Sprintf("gateway: list of %d backends NOT TAKEN; bytes against its bound",
+					socket.Listed), Figure: float64(socket.ListBytes), Budget: initialListLimit,
+					Unit: "bytes", Basis: "measured"})
 		} else {
-			rows = append(rows, CapacityRow{What: fmt.Sprintf("gateway: heap while a list of %d backends is taken", socket.Listed),
-				Figure: socket.ListMegabytes, Budget: BudgetControlMemory >> 20, Unit: "MB", Basis: "measured, sampled"})
+			rows = append(rows,
+				CapacityRow{What: fmt.Sprintf("gateway: heap while a list of %d backends is taken", socket.Listed),
+					Figure: socket.ListPeakMegabytes, Budget: BudgetControlMemory >> 20,
+					Unit: "MB", Basis: "measured, sampled"})
 		}
 		rows = append(rows,
 			CapacityRow{What: fmt.Sprintf("gateway: 99th percentile added, %d backends listed", socket.Listed),
-				Figure: socket.AddedP99, Budget: float64(BudgetAddedLatency.Microseconds()), Unit: "us", Basis: "measured"},
-			CapacityRow{What: fmt.Sprintf("gateway: processor time without requests, %d backends listed", socket.Listed),
-				Figure: socket.IdleCPU * 100, Budget: BudgetControlCPU * 100, Unit: "% of a core", Basis: "measured, with stand-ins"})
+				Figure: socket.AddedP99Micros, Budget: float64(BudgetAddedLatency.Microseconds()),
+				Unit: "us", Basis: "measured"},
+			CapacityRow{What: fmt.Sprintf("gateway: processor time without requests, %d backends listed",
+				socket.Listed),
+				Figure: socket.IdleCPU * 100, Budget: BudgetControlCPU * 100,
+				Unit: "% of a core", Basis: "measured, with stand-ins"})
 	}
 	return rows
 }
 
-// listBound is the bound on a list's bytes that the gateway had at first: what a list that is not taken is compared with.
-const listBound = 4 << 20
+// initialListLimit is the limit on a list's length in bytes that the first version of the gateway had. A list that was
+// not applied is compared with it.
+const initialListLimit = 4 << 20
 
+// fleetRows reports the results of the sums experiment and of the quotas with the widest spread.
 func (r *Report) fleetRows() (rows []CapacityRow) {
 	if r.Sums != nil {
 		rows = append(rows,
-			CapacityRow{What: "fleet: load of the busiest backend over the mean", Figure: r.Sums.LoadMost, Budget: evenBar,
+			CapacityRow{What: "fleet: load of the busiest backend over the mean",
+				Figure: r.Sums.MaxLoad, Budget: maxLoadRatio,
 				Unit: "times", Basis: "played"},
-			CapacityRow{What: "fleet: sends to a cold backend over what makes it fall", Figure: r.Sums.ColdWorst, Budget: 1,
+			CapacityRow{What: "fleet: sends to a cold backend over what makes it fall",
+				Figure: r.Sums.MaxColdLoad, Budget: 1,
 				Unit: "times", Basis: "played"})
 	}
 	for _, quota := range r.Quota {
 		if quota.Spread == slices.Max(quotaSpreads) && !quota.HasCeiling {
-			rows = append(rows, CapacityRow{What: fmt.Sprintf("fleet: sent of a quota of %g units/s over %d gateways, 4 times asked for",
-				quota.Rate, quota.Spread), Figure: quota.Sent, Budget: 1, Unit: "times", Basis: "played"})
+			rows = append(rows,
+				CapacityRow{What: fmt.Sprintf(
+					"fleet: sent of a quota of %g units/s over %d gateways, 4 times asked for",
+					quota.Rate, quota.Spread), Figure: quota.HeavySentRatio, Budget: 1, Unit: "times", Basis: "played"})
 		}
 	}
 	return rows
--- a/internal/scalelab/churn.go
+++ b/internal/scalelab/churn.go
@@ -7,183 +7,198 @@
 	"time"
 )
 
-// ChurnResult is a day of changes before some gateways.
+// ChurnResult holds the cost and the delay of one simulated day of list changes.
 type ChurnResult struct {
-	Gateways       int      `json:"gateways"`
-	Backends       int      `json:"backends"`
-	Scale          float64  `json:"scale"` // of the target's restarts and failures, by the number of backends
-	Phases         []*Phase `json:"phases"`
-	DayBytes       float64  `json:"day_bytes_per_gateway"`
-	DayCPUMillis   float64  `json:"day_cpu_ms_per_gateway"`
-	RegionGateways int      `json:"region_gateways"` // that are cut off for a while
+	Gateways        int      `json:"gateways"`
+	Backends        int      `json:"backends"`
+	Scale           float64  `json:"scale"` // Backends over TargetBackends; scales the restarts and failures
+	Phases          []*Phase `json:"phases"`
+	BytesPerDay     float64  `json:"day_bytes_per_gateway"`  // list changes received by a gateway
+	CPUMillisPerDay float64  `json:"day_cpu_ms_per_gateway"` // processor time of applying them
+	CutOffGateways  int      `json:"region_gateways"`        // gateways of the region that is cut off
 }
 
-// When things happen in the day, and how long they last.
+// The schedule of the day: offsets from its start, and durations.
 const (
-	day             = 24 * time.Hour
-	rollingFrom     = 10 * time.Hour
-	rollingLasts    = time.Hour
-	rollingShare    = 0.75 // of the day's restarts are in the rolling restart
-	rackFrom        = 14 * time.Hour
-	rackLasts       = 30 * time.Minute
-	rackBackends    = 40
-	zoneFrom        = 16 * time.Hour
-	zoneLasts       = 20 * time.Minute
-	regionFrom      = 18 * time.Hour
-	regionLasts     = 5 * time.Minute
-	drainLasts      = 3 * time.Second
-	processReturns  = 10 * time.Second // after the beginning of its drain
-	machineReturns  = time.Hour
-	zoneReturnsOver = time.Minute // its backends start within this time
+	day                  = 24 * time.Hour
+	rollingStart         = 10 * time.Hour
+	rollingDuration      = time.Hour
+	rollingShare         = 0.75 // share of the day's restarts that belong to the rolling restart
+	rackFailureStart     = 14 * time.Hour
+	rackFailureDuration  = 30 * time.Minute
+	rackSize             = 40 // backends
+	zoneFailureStart     = 16 * time.Hour
+	zoneFailureDuration  = 20 * time.Minute
+	regionCutOffStart    = 18 * time.Hour
+	regionCutOffDuration = 5 * time.Minute
+	drainDuration        = 3 * time.Second
+	processRestartTime   = 10 * time.Second // from the start of the drain until the new process is ready
+	machineRepairTime    = time.Hour
+	zoneRecoverySpread   = time.Minute // the backends of a zone return spread over this time
 )
 
-type churnPlay struct {
-	clock     *Clock
-	random    *rand.Rand
-	discovery *Discovery
-	scale     float64
-	backends  int
-	busy      map[BackendID]bool // restarting or lost: left alone by what else happens
+// churnScenario publishes the list changes of one day.
+type churnScenario struct {
+	clock       *Clock
+	random      *rand.Rand
+	discovery   *Discovery
+	scale       float64 // share of the target's restarts and failures
+	backends    int
+	unavailable map[BackendID]bool // restarting or failed; other events skip them
 }
 
-// PlayChurn plays a day's changes of the list of backends before hollow gateways. Requests are not played.
-func PlayChurn(ctx context.Context, gateways, backends int, seed uint64, progress Progress) (ChurnResult, error) {
+// RunChurn simulates one day of changes to the list of backends and measures how hollow gateways apply them. It
+// simulates no requests.
+func RunChurn(ctx context.Context, gateways, backends int, seed uint64, progress Progress) (ChurnResult, error) {
 	result := ChurnResult{Gateways: gateways, Backends: backends, Scale: float64(backends) / TargetBackends}
 	size := Size{Backends: backends, Customers: 1, Classes: slopeBase.Classes, Gateways: max(gateways, 2)}
 	if err := size.Validate(); err != nil {
 		return result, err
 	}
-	if gateways < 1 || gateways*backends > mostEntries {
-		return result, fmt.Errorf("%d gateways with %d backends each can't be played: %d entries of lists at most",
-			gateways, backends, mostEntries)
+	if gateways < 1 || gateways*backends > maxListEntries {
+		return result, fmt.Errorf("%d gateways with %d backends each: the lists may hold %d entries in all",
+			gateways, backends, maxListEntries)
 	}
 	if backends < 2*TargetZones {
-		return result, fmt.Errorf("%d backends are too few for %d zones: 2 in each at least", backends, TargetZones)
+		return result, fmt.Errorf("%d backends are too few for %d zones: each needs at least 2", backends, TargetZones)
 	}
-	clock, random := &Clock{now: start}, rand.New(rand.NewPCG(seed, 3))
+	clock, random := &Clock{now: simulationStart}, rand.New(rand.NewPCG(seed, 3))
 	list := newBackends(backends)
 	hollows := make([]*HollowGateway, gateways)
 	for number := range hollows {
 		progress.Show("churn: starting gateway %d of %d", number+1, gateways)
-		hollow, err := NewHollowGateway(number, newSettings(size), random.Uint64(), start, &single{lastSent: map[BackendID]time.Duration{}})
+		hollow, err := NewHollowGateway(number, newSettings(size), random.Uint64(), simulationStart,
+			&singleHost{lastSentAt: map[BackendID]time.Duration{}})
 		if err != nil {
 			return result, err
 		}
-		hollow.TakeList(start, list)
+		hollow.ApplyList(simulationStart, list)
 		hollows[number] = hollow
 	}
-	play := &churnPlay{clock: clock, random: random, scale: result.Scale, backends: backends, busy: map[BackendID]bool{},
-		discovery: NewDiscovery(clock, random, list, hollows)}
-	result.Phases = play.script(&result)
-	clock.RunUntil(start+day+machineReturns+time.Minute, func() bool {
-		progress.Show("churn: %v of the day played", (clock.Now() - start).Round(time.Minute))
+	scenario := &churnScenario{clock: clock, random: random, scale: result.Scale, backends: backends,
+		unavailable: map[BackendID]bool{}, discovery: NewDiscovery(clock, random, list, hollows)}
+	result.Phases = scenario.schedulePhases(&result)
+	clock.RunUntil(simulationStart+day+machineRepairTime+time.Minute, func() bool {
+		progress.Show("churn: %v of the day simulated", (clock.Now() - simulationStart).Round(time.Minute))
 		return ctx.Err() != nil
 	})
 	for _, phase := range result.Phases {
 		phase.finish(gateways)
-		result.DayBytes += phase.Bytes
-		result.DayCPUMillis += phase.CPUMillis
+		result.BytesPerDay += phase.BytesPerGateway
+		result.CPUMillisPerDay += phase.CPUMillisPerGateway
 	}
 	return result, ctx.Err()
 }
 
-// script schedules all that happens.
-func (p *churnPlay) script(result *ChurnResult) []*Phase {
-	rolling, restarts := NewPhase("rolling restart"), NewPhase("single restarts")
+// schedulePhases schedules all events of the day and returns the phases to which their cost is attributed.
+func (s *churnScenario) schedulePhases(result *ChurnResult) []*Phase {
+	rolling, singleRestarts := NewPhase("rolling restart"), NewPhase("single restarts")
 	failures, rack := NewPhase("machines failed"), NewPhase("rack lost and back")
-	zone, region := NewPhase("zone lost and back"), NewPhase("changes while a region is cut off")
-	config := NewPhase("configuration changes")
-	all := max(1, int(p.scale*TargetRestarts))
-	inRolling := int(rollingShare * float64(all))
-	first := p.random.IntN(p.backends)
-	for i := range inRolling {
-		p.clock.After(rollingFrom+time.Duration(i)*rollingLasts/time.Duration(inRolling), func() {
-			p.restart(rolling, BackendID((first+i)%p.backends+1))
+	zone, cutOffChanges := NewPhase("zone lost and back"), NewPhase("changes while a region is cut off")
+	configChanges := NewPhase("configuration changes")
+	restarts := max(1, int(s.scale*TargetRestarts))
+	rollingRestarts := int(rollingShare * float64(restarts))
+	firstIndex := s.random.IntN(s.backends)
+	for i := range rollingRestarts {
+		s.clock.AfterFunc(rollingStart+time.Duration(i)*rollingDuration/time.Duration(rollingRestarts), func() {
+			s.restartBackend(rolling, BackendID((firstIndex+i)%s.backends+1))
 		})
 	}
-	for range all - inRolling {
-		p.anytime(func() { p.restart(restarts, p.any()) })
+	for range restarts - rollingRestarts {
+		s.atRandomTime(func() { s.restartBackend(singleRestarts, s.randomBackend()) })
 	}
-	for range max(1, int(p.scale*TargetFailures)) {
-		p.anytime(func() { p.lose(failures, machineReturns, 0, p.any()) })
+	for range max(1, int(s.scale*TargetFailures)) {
+		s.atRandomTime(func() { s.fail(failures, machineRepairTime, 0, s.randomBackend()) })
 	}
-	p.clock.After(rackFrom, func() { p.lose(rack, rackLasts, processReturns, p.rack()...) })
-	p.clock.After(zoneFrom, func() { p.lose(zone, zoneLasts, zoneReturnsOver, p.zone()...) })
-	cut := p.discovery.agents[:len(p.discovery.agents)/TargetRegions]
-	result.RegionGateways = len(cut)
-	p.clock.After(regionFrom, func() { p.discovery.CutOff(cut, true) })
-	p.clock.After(regionFrom+regionLasts, func() { p.discovery.CutOff(cut, false) })
+	s.clock.AfterFunc(rackFailureStart, func() {
+		s.fail(rack, rackFailureDuration, processRestartTime, s.randomRack()...)
+	})
+	s.clock.AfterFunc(zoneFailureStart, func() {
+		s.fail(zone, zoneFailureDuration, zoneRecoverySpread, s.firstZone()...)
+	})
+	cutOffAgents := s.discovery.agents[:len(s.discovery.agents)/TargetRegions]
+	result.CutOffGateways = len(cutOffAgents)
+	s.clock.AfterFunc(regionCutOffStart, func() { s.discovery.CutOff(cutOffAgents, true) })
+	s.clock.AfterFunc(regionCutOffStart+regionCutOffDuration, func() { s.discovery.CutOff(cutOffAgents, false) })
 	for i := range TargetConfigChanges {
 		at := time.Duration(i) * day / TargetConfigChanges
-		phase := config
-		if at >= regionFrom && at < regionFrom+regionLasts {
-			phase = region
+		phase := configChanges
+		if at >= regionCutOffStart && at < regionCutOffStart+regionCutOffDuration {
+			phase = cutOffChanges
 		}
-		p.clock.After(at, func() { p.configure(phase, p.any()) })
+		s.clock.AfterFunc(at, func() { s.changeWeight(phase, s.randomBackend()) })
 	}
-	return []*Phase{rolling, restarts, failures, rack, zone, region, config}
+	return []*Phase{rolling, singleRestarts, failures, rack, zone, cutOffChanges, configChanges}
 }
 
-func (p *churnPlay) anytime(run func()) {
-	p.clock.After(time.Duration(p.random.Int64N(int64(day))), run)
+// atRandomTime schedules run at a random time of the day.
+func (s *churnScenario) atRandomTime(run func()) {
+	s.clock.AfterFunc(time.Duration(s.random.Int64N(int64(day))), run)
 }
 
-func (p *churnPlay) any() BackendID { return BackendID(p.random.IntN(p.backends) + 1) }
+func (s *churnScenario) randomBackend() BackendID { return BackendID(s.random.IntN(s.backends) + 1) }
 
-func (p *churnPlay) rack() (ids []BackendID) {
-	first := p.random.IntN(p.backends)
-	for i := range min(rackBackends, p.backends/2) {
-		ids = append(ids, BackendID((first+i*TargetZones)%p.backends+1)) // all in one zone
+// randomRack returns the backends of a rack. All of them are in one zone.
+func (s *churnScenario) randomRack() (ids []BackendID) {
+	first := s.random.IntN(s.backends)
+	for i := range min(rackSize, s.backends/2) {
+		ids = append(ids, BackendID((first+i*TargetZones)%s.backends+1))
 	}
 	return ids
 }
 
-func (p *churnPlay) zone() (ids []BackendID) {
-	for i := 0; i < p.backends; i += TargetZones {
+// firstZone returns all backends of the first zone.
+func (s *churnScenario) firstZone() (ids []BackendID) {
+	for i := 0; i < s.backends; i += TargetZones {
 		ids = append(ids, BackendID(i+1))
 	}
 	return ids
 }
 
-func (p *churnPlay) entry(id BackendID) BackendInfo { return p.discovery.current[id-1] }
+// entry returns the current list entry of a backend.
+func (s *churnScenario) entry(id BackendID) BackendInfo { return s.discovery.current[id-1] }
 
-// restart drains a backend, takes it away, and lets a new process of it begin.
-func (p *churnPlay) restart(phase *Phase, id BackendID) {
-	if p.busy[id] {
+// restartBackend drains a backend, removes it and publishes its new process, unless it is already unavailable.
+func (s *churnScenario) restartBackend(phase *Phase, id BackendID) {
+	if s.unavailable[id] {
 		return
 	}
-	p.busy[id] = true
-	p.discovery.Publish(phase, draining(p.entry(id)))
-	p.clock.After(drainLasts, func() { p.discovery.Publish(phase, gone(p.entry(id))) })
-	p.clock.After(processReturns, func() { p.returns(phase, id) })
+	s.unavailable[id] = true
+	s.discovery.Publish(phase, asDraining(s.entry(id)))
+	s.clock.AfterFunc(drainDuration, func() { s.discovery.Publish(phase, asGone(s.entry(id))) })
+	s.clock.AfterFunc(processRestartTime, func() { s.restore(phase, id) })
 }
 
-func (p *churnPlay) returns(phase *Phase, id BackendID) {
-	delete(p.busy, id)
-	p.discovery.Publish(phase, ready(p.entry(id), p.clock.Now()))
+// restore publishes a new, ready process of a backend.
+func (s *churnScenario) restore(phase *Phase, id BackendID) {
+	delete(s.unavailable, id)
+	s.discovery.Publish(phase, asReady(s.entry(id), s.clock.Now()))
 }
 
-// lose takes backends away at once, and brings them back one after another within a time.
-func (p *churnPlay) lose(phase *Phase, lasts, over time.Duration, ids ...BackendID) {
+// fail removes backends all at once. After the outage they return one after another, spread over recoverySpread. It
+// skips backends that are already unavailable.
+func (s *churnScenario) fail(phase *Phase, outage, recoverySpread time.Duration, ids ...BackendID) {
 	var lost []BackendInfo
 	for i, id := range ids {
-		if p.busy[id] {
+		if s.unavailable[id] {
 			continue
 		}
-		p.busy[id] = true
-		lost = append(lost, gone(p.entry(id)))
-		p.clock.After(lasts+over*time.Duration(i)/time.Duration(len(ids)), func() { p.returns(phase, id) })
+		s.unavailable[id] = true
+		lost = append(lost, asGone(s.entry(id)))
+		s.clock.AfterFunc(outage+recoverySpread*time.Duration(i)/time.Duration(len(ids)), func() {
+			s.restore(phase, id)
+		})
 	}
-	p.discovery.Publish(phase, lost...)
+	s.discovery.Publish(phase, lost...)
 }
 
-// configure changes what the list tells of a backend besides its state: the one thing of the configuration that comes
-// into force without a restart of the gateway.
-func (p *churnPlay) configure(phase *Phase, id BackendID) {
-	if p.busy[id] {
+// changeWeight publishes a new weight of a backend. The attributes of the list's entries are the only part of the
+// configuration that takes effect without a restart of the gateway.
+func (s *churnScenario) changeWeight(phase *Phase, id BackendID) {
+	if s.unavailable[id] {
 		return
 	}
-	entry := p.entry(id)
-	entry.Weight = 1 + p.random.Float64()
-	p.discovery.Publish(phase, entry)
+	entry := s.entry(id)
+	entry.Weight = 1 + s.random.Float64()
+	s.discovery.Publish(phase, entry)
 }
--- a/internal/scalelab/clock.go
+++ b/internal/scalelab/clock.go
@@ -5,55 +5,60 @@
 	"time"
 )
 
-// Clock is a simulated clock with a queue of what is due. Events of one moment run in the order of their scheduling.
+// Clock is a simulated clock with a queue of scheduled events. Events that are due at the same time run in the order in
+// which they were scheduled.
 type Clock struct {
 	now      time.Duration
 	sequence uint64
 	queue    eventQueue
 }
 
-type scheduled struct {
-	at       time.Duration
+// scheduledEvent is an event of the queue. Its sequence number breaks ties between events that are due at the same
+// time.
+type scheduledEvent struct {
+	due      time.Duration
 	sequence uint64
 	run      func()
 }
 
-type eventQueue []scheduled
+// eventQueue implements heap.Interface; the first event is the next one due.
+type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int      { return len(q) }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q eventQueue) Less(i, j int) bool {
-	if q[i].at != q[j].at {
-		return q[i].at < q[j].at
+	if q[i].due != q[j].due {
+		return q[i].due < q[j].due
 	}
 	return q[i].sequence < q[j].sequence
 }
-func (q *eventQueue) Push(item any) { *q = append(*q, item.(scheduled)) }
+func (q *eventQueue) Push(item any) { *q = append(*q, item.(scheduledEvent)) }
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
-	old[len(old)-1] = scheduled{}
+	old[len(old)-1] = scheduledEvent{}
 	*q = old[:len(old)-1]
 	return last
 }
 
-// Now is the simulated time.
+// Now returns the simulated time.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// After schedules an event.
-func (c *Clock) After(wait time.Duration, run func()) {
+// AfterFunc schedules run after the delay. A negative delay counts as zero.
+func (c *Clock) AfterFunc(delay time.Duration, run func()) {
 	c.sequence++
-	heap.Push(&c.queue, scheduled{at: c.now + max(0, wait), sequence: c.sequence, run: run})
+	heap.Push(&c.queue, scheduledEvent{due: c.now + max(0, delay), sequence: c.sequence, run: run})
 }
 
-// RunUntil runs what is due until the given time and leaves the clock there. It stops early where stop tells so.
-func (c *Clock) RunUntil(end time.Duration, stop func() bool) {
-	for count := 0; len(c.queue) > 0 && c.queue[0].at <= end; count++ {
-		if count%1024 == 0 && stop() {
+// RunUntil runs all events that are due until end and sets the clock to end. It calls canceled once per 1024
+// events and returns early, without setting the clock to end, if it reports true.
+func (c *Clock) RunUntil(end time.Duration, canceled func() bool) {
+	for count := 0; len(c.queue) > 0 && c.queue[0].due <= end; count++ {
+		if count%1024 == 0 && canceled() {
 			return
 		}
-		event := heap.Pop(&c.queue).(scheduled)
-		c.now = event.at
+		event := heap.Pop(&c.queue).(scheduledEvent)
+		c.now = event.due
 		event.run()
 	}
 	c.now = end
--- a/internal/scalelab/discovery.go
+++ b/internal/scalelab/discovery.go
@@ -7,179 +7,190 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Discovery is a stand-in for discovery with an agent beside each gateway, on the simulated clock. A change reaches an
-// agent after a random delay, and with it all others that were published meanwhile. An agent that was cut off is told
-// of what changed since, or of the whole list where that is too much.
+// Discovery simulates service discovery, with one agent per gateway, on the simulated clock. A change reaches an agent
+// after a random delay, together with all changes published in the meantime. An agent that was cut off receives the
+// changes that it missed, or the whole list if they are more than maxIncrementalEntries.
 type Discovery struct {
-	clock   *Clock
-	random  *rand.Rand
-	current []BackendInfo
-	log     []publication
-	agents  []*agent
+	clock        *Clock
+	random       *rand.Rand
+	current      []BackendInfo
+	publications []publication
+	agents       []*simulatedAgent
 }
 
-// The delays are the lab's own assumption: the operators say only that changes come seconds late.
+// The delays are an assumption: the operators specify only that changes arrive seconds late.
 const (
-	leastDelay  = 200 * time.Millisecond
-	mostDelay   = 2 * time.Second
-	mostHistory = 10_000 // entries that an agent is told as changes; more are told as the whole list
+	minPropagationDelay   = 200 * time.Millisecond
+	maxPropagationDelay   = 2 * time.Second
+	maxIncrementalEntries = 10_000 // above this an agent receives the whole list instead of the changes
 )
 
+// publication is one published change of a list entry.
 type publication struct {
-	phase  *Phase
-	change BackendInfo
-	at     time.Duration
-	bytes  int // of the entry, as discovery writes it
+	phase       *Phase
+	change      BackendInfo
+	publishedAt time.Duration
+	bytes       int // length of the entry on the wire
 }
 
-// Phase sums up what one kind of change costs.
+// Phase accumulates the cost and the delay of one kind of change. BytesPerGateway and CPUMillisPerGateway are totals
+// over all gateways until finish divides them.
 type Phase struct {
-	Name          string  `json:"name"`
-	Published     int     `json:"published"` // entries
-	Messages      int     `json:"messages"`  // over all gateways
-	WholeLists    int     `json:"whole_lists"`
-	Bytes         float64 `json:"bytes_per_gateway"`
-	CPUMillis     float64 `json:"cpu_ms_per_gateway"`
-	MostBytes     int     `json:"most_bytes_in_a_second"` // of any gateway
-	MostCPUMillis float64 `json:"most_cpu_ms_in_a_second"`
-	MedianMillis  float64 `json:"in_force_median_ms"`
-	P99Millis     float64 `json:"in_force_p99_ms"`
-	LastMillis    float64 `json:"in_force_last_ms"`
-
-	inForce *hdrhistogram.Histogram // microseconds
+	Name                  string  `json:"name"`
+	PublishedEntries      int     `json:"published"`
+	Messages              int     `json:"messages"`    // over all gateways
+	WholeLists            int     `json:"whole_lists"` // messages that held the whole list
+	BytesPerGateway       float64 `json:"bytes_per_gateway"`
+	CPUMillisPerGateway   float64 `json:"cpu_ms_per_gateway"`
+	MaxBytesPerSecond     int     `json:"most_bytes_in_a_second"`  // at any gateway
+	MaxCPUMillisPerSecond float64 `json:"most_cpu_ms_in_a_second"` // at any gateway
+	MedianDelayMillis     float64 `json:"in_force_median_ms"`      // from publication until the gateway applied it
+	P99DelayMillis        float64 `json:"in_force_p99_ms"`
+	MaxDelayMillis        float64 `json:"in_force_last_ms"`
+
+	delays *hdrhistogram.Histogram // microseconds
 }
 
-// NewPhase starts a phase with nothing counted.
+// NewPhase returns an empty phase.
 func NewPhase(name string) *Phase {
-	return &Phase{Name: name, inForce: hdrhistogram.New(1, int64(24*time.Hour/time.Microsecond), 3)}
+	return &Phase{Name: name, delays: hdrhistogram.New(1, int64(24*time.Hour/time.Microsecond), 3)}
 }
 
+// finish computes the means per gateway and the quantiles of the delay.
 func (p *Phase) finish(gateways int) {
-	p.Bytes /= float64(gateways)
-	p.CPUMillis /= float64(gateways)
-	p.MedianMillis = float64(p.inForce.ValueAtQuantile(50)) / 1000
-	p.P99Millis = float64(p.inForce.ValueAtQuantile(99)) / 1000
-	p.LastMillis = float64(p.inForce.Max()) / 1000
+	p.BytesPerGateway /= float64(gateways)
+	p.CPUMillisPerGateway /= float64(gateways)
+	p.MedianDelayMillis = float64(p.delays.ValueAtQuantile(50)) / 1000
+	p.P99DelayMillis = float64(p.delays.ValueAtQuantile(99)) / 1000
+	p.MaxDelayMillis = float64(p.delays.Max()) / 1000
 }
 
-type agent struct {
-	gateway       *HollowGateway
-	told          int // publications
-	waits         bool
-	cutOff        bool
-	busyUntil     time.Duration
-	second        time.Duration // that bytes and cpu are of
-	bytes         int
-	processorTime time.Duration
+// simulatedAgent is the discovery agent of one gateway.
+type simulatedAgent struct {
+	gateway             *HollowGateway
+	delivered           int // number of publications
+	deliveryScheduled   bool
+	cutOff              bool
+	busyUntil           time.Duration
+	second              time.Duration // the second to which secondBytes and secondProcessorTime belong
+	secondBytes         int
+	secondProcessorTime time.Duration
 }
 
-// NewDiscovery gives the list to all gateways.
+// NewDiscovery returns the discovery service of gateways that have already applied the list. It takes ownership of the
+// list.
 func NewDiscovery(clock *Clock, random *rand.Rand, list []BackendInfo, gateways []*HollowGateway) *Discovery {
 	discovery := &Discovery{clock: clock, random: random, current: list}
 	for _, hollow := range gateways {
-		discovery.agents = append(discovery.agents, &agent{gateway: hollow})
+		discovery.agents = append(discovery.agents, &simulatedAgent{gateway: hollow})
 	}
 	return discovery
 }
 
-// Publish changes entries of the list.
+// Publish changes entries of the list and attributes the cost to the phase.
 func (d *Discovery) Publish(phase *Phase, changes ...BackendInfo) {
-	phase.Published += len(changes)
+	phase.PublishedEntries += len(changes)
 	for _, change := range changes {
 		d.current[change.ID-1] = change
-		d.log = append(d.log, publication{phase: phase, change: change, at: d.clock.Now(), bytes: entryBytes(change)})
+		d.publications = append(d.publications, publication{phase: phase, change: change, publishedAt: d.clock.Now(),
+			bytes: encodedEntryBytes(change)})
 	}
 	for _, agent := range d.agents {
 		d.schedule(agent)
 	}
 }
 
-// CutOff parts some agents from discovery, or brings them back.
-func (d *Discovery) CutOff(agents []*agent, cutOff bool) {
+// CutOff disconnects agents from discovery or reconnects them.
+func (d *Discovery) CutOff(agents []*simulatedAgent, cutOff bool) {
 	for _, agent := range agents {
 		agent.cutOff = cutOff
 		d.schedule(agent)
 	}
 }
 
-func (d *Discovery) schedule(agent *agent) {
-	if agent.waits || agent.cutOff || agent.told == len(d.log) {
+// schedule schedules a delivery to an agent, unless one is scheduled, the agent is cut off or it is up to date.
+func (d *Discovery) schedule(agent *simulatedAgent) {
+	if agent.deliveryScheduled || agent.cutOff || agent.delivered == len(d.publications) {
 		return
 	}
-	agent.waits = true
-	d.clock.After(leastDelay+time.Duration(d.random.Int64N(int64(mostDelay-leastDelay))), func() {
-		agent.waits = false
+	agent.deliveryScheduled = true
+	d.clock.AfterFunc(minPropagationDelay+
+		time.Duration(d.random.Int64N(int64(maxPropagationDelay-minPropagationDelay))), func() {
+		agent.deliveryScheduled = false
 		if !agent.cutOff {
 			d.deliver(agent)
 		}
 	})
 }
 
-// deliver brings an agent and its gateway up to date, and measures what that costs.
-func (d *Discovery) deliver(agent *agent) {
-	news := d.log[agent.told:]
-	agent.told = len(d.log)
-	whole := len(news) > mostHistory
-	entries, bytes := latest(news)
+// deliver sends all pending changes to an agent's gateway and measures the cost.
+func (d *Discovery) deliver(agent *simulatedAgent) {
+	pending := d.publications[agent.delivered:]
+	agent.delivered = len(d.publications)
+	whole := len(pending) > maxIncrementalEntries
+	entries, bytes := coalesce(pending)
 	if whole {
-		entries = d.listed()
-		bytes = listBytes(int64(agent.told), true, entries)
+		entries = d.listedBackends()
+		bytes = encodedListBytes(int64(agent.delivered), true, entries)
 	}
 	now := d.clock.Now()
-	from := processorTime()
+	before := processorTime()
 	if whole {
-		agent.gateway.TakeList(now, entries)
+		agent.gateway.ApplyList(now, entries)
 	} else {
-		agent.gateway.TakeChanges(now, entries)
+		agent.gateway.ApplyChanges(now, entries)
 	}
-	used := processorTime() - from
+	used := processorTime() - before
 	agent.busyUntil = max(agent.busyUntil, now) + used
-	d.account(agent, news, whole, bytes, used)
+	d.account(agent, pending, whole, bytes, used)
 }
 
-// account counts a message to the phases of its entries, each by its part of them.
-func (d *Discovery) account(agent *agent, news []publication, whole bool, bytes int, used time.Duration) {
+// account attributes the bytes and the processor time of a message to the phases of its entries, in proportion to their
+// number. The message itself counts for the phase of its first entry.
+func (d *Discovery) account(agent *simulatedAgent, pending []publication, whole bool, bytes int, used time.Duration) {
 	now := d.clock.Now()
 	if second := now.Truncate(time.Second); second != agent.second {
-		agent.second, agent.bytes, agent.processorTime = second, 0, 0
+		agent.second, agent.secondBytes, agent.secondProcessorTime = second, 0, 0
 	}
-	agent.bytes += bytes
-	agent.processorTime += used
-	part := 1 / float64(len(news))
-	for i, published := range news {
+	agent.secondBytes += bytes
+	agent.secondProcessorTime += used
+	share := 1 / float64(len(pending))
+	for i, published := range pending {
 		phase := published.phase
 		if i == 0 {
 			phase.Messages++
 			if whole {
 				phase.WholeLists++
 			}
-			phase.MostBytes = max(phase.MostBytes, agent.bytes)
-			phase.MostCPUMillis = max(phase.MostCPUMillis, agent.processorTime.Seconds()*1000)
+			phase.MaxBytesPerSecond = max(phase.MaxBytesPerSecond, agent.secondBytes)
+			phase.MaxCPUMillisPerSecond = max(phase.MaxCPUMillisPerSecond, agent.secondProcessorTime.Seconds()*1000)
 		}
-		phase.Bytes += part * float64(bytes)
-		phase.CPUMillis += part * used.Seconds() * 1000
-		_ = phase.inForce.RecordValue(max(1, (agent.busyUntil - published.at).Microseconds())) // within a day: in range
+		phase.BytesPerGateway += share * float64(bytes)
+		phase.CPUMillisPerGateway += share * used.Seconds() * 1000
+		// Delays are below a day, so that all values are in the range of the histogram.
+		_ = phase.delays.RecordValue(max(1, (agent.busyUntil - published.publishedAt).Microseconds()))
 	}
 }
 
-// listed are the backends that are not gone.
-func (d *Discovery) listed() (entries []BackendInfo) {
+// listedBackends returns the entries of the backends that are not gone.
+func (d *Discovery) listedBackends() (entries []BackendInfo) {
 	for _, backend := range d.current {
-		if backend != gone(backend) {
+		if backend != asGone(backend) {
 			entries = append(entries, backend)
 		}
 	}
 	return entries
 }
 
-// latest keeps the last change of each backend, in the order of the last changes, and counts the message's bytes.
-func latest(news []publication) (entries []BackendInfo, bytes int) {
-	last := make(map[BackendID]int, len(news))
-	for i, published := range news {
+// coalesce returns the last change of each backend, in the order of publication, and the length of the message on the
+// wire.
+func coalesce(pending []publication) (entries []BackendInfo, bytes int) {
+	last := make(map[BackendID]int, len(pending))
+	for i, published := range pending {
 		last[published.change.ID] = i
 	}
 	bytes = emptyListBytes
-	for i, published := range news {
+	for i, published := range pending {
 		if last[published.change.ID] == i {
 			entries = append(entries, published.change)
 			bytes += published.bytes
--- a/internal/scalelab/fit.go
+++ b/internal/scalelab/fit.go
@@ -5,10 +5,10 @@
 	"math"
 )
 
-// leastPoints is the number of different sizes that a slope needs at least.
-const leastPoints = 5
+// minSizes is the lowest number of different sizes to which a slope is fitted.
+const minSizes = 5
 
-var errFewPoints = errors.New("a slope needs five different sizes or more")
+var errTooFewSizes = errors.New("a slope needs at least five different sizes")
 
 // Point is one measured value at one size.
 type Point struct {
@@ -16,7 +16,7 @@
 	Value float64 `json:"value"`
 }
 
-// Fit is a least-squares line through points, and the exponent of a power law through the same points.
+// Fit is a least-squares line through points, with the exponent of a power law fitted to the same points.
 type Fit struct {
 	Intercept     float64 `json:"intercept"`
 	Slope         float64 `json:"slope"`
@@ -24,10 +24,11 @@
 	RSquared      float64 `json:"r_squared"`
 	Exponent      float64 `json:"exponent"` // of the power law
 	ExponentError float64 `json:"exponent_error"`
-	HasExponent   bool    `json:"has_exponent"` // all values were above 0
+	HasExponent   bool    `json:"has_exponent"` // all sizes and values were above 0
 }
 
-// NewFit fits points of at least five different sizes.
+// NewFit fits a line and, if all sizes and values are positive, a power law. It needs at least minSizes different
+// sizes.
 func NewFit(points []Point) (Fit, error) {
 	sizes := map[float64]bool{}
 	positive := true
@@ -35,11 +36,12 @@
 		sizes[point.Size] = true
 		positive = positive && point.Size > 0 && point.Value > 0
 	}
-	if len(sizes) < leastPoints {
-		return Fit{}, errFewPoints
+	if len(sizes) < minSizes {
+		return Fit{}, errTooFewSizes
 	}
-	line := leastSquares(points)
-	fit := Fit{Intercept: line.intercept, Slope: line.slope, SlopeError: line.slopeError, RSquared: line.rSquared}
+	linear := leastSquares(points)
+	fit := Fit{Intercept: linear.intercept, Slope: linear.slope,
+		SlopeError: linear.slopeError, RSquared: linear.rSquared}
 	if !positive {
 		return fit, nil
 	}
@@ -52,11 +54,11 @@
 	return fit, nil
 }
 
-// line is a fitted line.
-type line struct{ intercept, slope, slopeError, rSquared float64 }
+// fittedLine is a least-squares line with its standard error and coefficient of determination.
+type fittedLine struct{ intercept, slope, slopeError, rSquared float64 }
 
-// leastSquares fits a line. The points must be of two different sizes or more.
-func leastSquares(points []Point) line {
+// leastSquares fits a line. The points must have at least two different sizes.
+func leastSquares(points []Point) fittedLine {
 	count := float64(len(points))
 	meanSize, meanValue := 0.0, 0.0
 	for _, point := range points {
@@ -71,7 +73,7 @@
 	}
 	slope := products / sizeSquares
 	residual := max(0, valueSquares-slope*products)
-	fitted := line{intercept: meanValue - slope*meanSize, slope: slope, rSquared: 1}
+	fitted := fittedLine{intercept: meanValue - slope*meanSize, slope: slope, rSquared: 1}
 	if len(points) > 2 {
 		fitted.slopeError = math.Sqrt(residual / (count - 2) / sizeSquares)
 	}
--- a/internal/scalelab/fixture.go
+++ b/internal/scalelab/fixture.go
@@ -7,7 +7,7 @@
 	"herontiller/internal/gateway"
 )
 
-// Size is what one gateway is measured against.
+// Size is the size of the system around a gateway.
 type Size struct {
 	Backends  int `json:"backends"`
 	Customers int `json:"customers"`
@@ -15,55 +15,58 @@
 	Gateways  int `json:"gateways"`
 }
 
-// Validate names a size that can't be played.
+// Validate returns an error that names the first dimension that is out of range.
 func (s Size) Validate() error {
-	for _, part := range []struct {
-		name        string
-		value, most int
-	}{{"backends", s.Backends, mostBackends}, {"customers", s.Customers, mostCustomers},
-		{"classes", s.Classes, mostClasses}, {"gateways", s.Gateways, mostGateways}} {
-		if part.value < 1 || part.value > part.most {
-			return fmt.Errorf("%d %s can't be played: from 1 to %d", part.value, part.name, part.most)
+	for _, dimension := range []struct {
+		name           string
+		value, maximum int
+	}{{"backends", s.Backends, maxBackends}, {"customers", s.Customers, maxCustomers},
+		{"classes", s.Classes, maxClasses}, {"gateways", s.Gateways, maxGateways}} {
+		if dimension.value < 1 || dimension.value > dimension.maximum {
+			return fmt.Errorf("%d %s: must be between 1 and %d", dimension.value, dimension.name, dimension.maximum)
 		}
 	}
 	return nil
 }
 
-// What a run may ask for at most: the memory of one run stays under 8 GB.
+// Upper bounds of a size. They keep the memory of one run under 8 GB.
 const (
-	mostBackends  = 200_000
-	mostCustomers = 1_000_000
-	mostClasses   = 100_000
-	mostGateways  = 10_000
+	maxBackends  = 200_000
+	maxCustomers = 1_000_000
+	maxClasses   = 100_000
+	maxGateways  = 10_000
 )
 
 const (
-	meterPeriod = 500 * time.Millisecond
-	classAim    = 600 * time.Millisecond
-	deadline    = 2500 * time.Millisecond
-	largestUnit = 8
+	meterPeriod        = 500 * time.Millisecond
+	classTargetLatency = 600 * time.Millisecond
+	requestDeadline    = 2500 * time.Millisecond
+	maxRequestUnits    = 8
 )
 
-// newSettings are the settings of a fleet of the size, with plans that no test traffic uses up.
+// newSettings returns the settings of a fleet of the size, with a plan whose quota the generated traffic never
+// exhausts.
 func newSettings(size Size) Settings {
-	settings := Settings{Gateways: size.Gateways, Zone: zoneName(0), MeterPeriod: meterPeriod, LargestUnits: largestUnit,
-		MaxAttempts: 3, CanCancel: true, AnswerGrace: 50 * time.Millisecond, DrainGrace: 500 * time.Millisecond,
+	settings := Settings{Gateways: size.Gateways, Zone: zoneName(0), MeterPeriod: meterPeriod,
+		LargestUnits: maxRequestUnits,
+		MaxAttempts:  3, CanCancel: true, AnswerGrace: 50 * time.Millisecond, DrainGrace: 500 * time.Millisecond,
 		ColdFrom: 0.19, WarmWithin: 15 * time.Second, FallMultiple: 3, FallFor: 1500 * time.Millisecond,
 		MaxRetryAfter: time.Second}
 	for number := range size.Classes {
 		settings.Classes = append(settings.Classes, gateway.Class{Name: className(number), Effect: gateway.Safe,
-			Aim: classAim, Deadline: deadline, Worth: 3})
+			Aim: classTargetLatency, Deadline: requestDeadline, Worth: 3})
 	}
-	settings.Plans = []Plan{{Name: widePlan, Rate: 1e6, Burst: 1e6, Price: 1}}
+	settings.Plans = []Plan{{Name: amplePlan, Rate: 1e6, Burst: 1e6, Price: 1}}
 	return settings
 }
 
-const widePlan = "wide"
+// amplePlan is the name of the plan whose quota the generated traffic never exhausts.
+const amplePlan = "wide"
 
 func className(number int) string { return fmt.Sprintf("class-%d", number) }
 func zoneName(number int) string  { return fmt.Sprintf("zone-%d", number) }
 
-// newBackends lists ready backends, numbered from 1, in all zones alike.
+// newBackends returns a list of ready backends, numbered from 1 and spread evenly over the zones.
 func newBackends(count int) []BackendInfo {
 	backends := make([]BackendInfo, count)
 	for i := range backends {
@@ -73,18 +76,20 @@
 	return backends
 }
 
-// The states of a backend's process as the list tells them.
-func ready(backend BackendInfo, started time.Duration) BackendInfo {
+// asReady returns the entry of a backend whose process started at the given time and is ready.
+func asReady(backend BackendInfo, started time.Duration) BackendInfo {
 	backend.State, backend.Started = gateway.Ready, started
 	return backend
 }
 
-func draining(backend BackendInfo) BackendInfo {
+// asDraining returns the entry of a backend that drains.
+func asDraining(backend BackendInfo) BackendInfo {
 	backend.State = gateway.Draining
 	return backend
 }
 
-func gone(backend BackendInfo) BackendInfo {
+// asGone returns the entry of a backend that was removed.
+func asGone(backend BackendInfo) BackendInfo {
 	backend.State = gateway.Gone
 	return backend
 }
--- a/internal/scalelab/fleet.go
+++ b/internal/scalelab/fleet.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Fleet hosts hollow gateways beside each other on one simulated clock, before stand-ins of backends and meter.
-// Nothing but events reaches a gateway.
+// Fleet hosts hollow gateways on one simulated clock, with simulated backends and meter. The gateways share no state;
+// they receive events only.
 type Fleet struct {
 	Clock    *Clock
 	Gateways []*HollowGateway
@@ -14,26 +14,27 @@
 	Meter    *Meter
 	Random   *rand.Rand
 
-	settings Settings
-	plans    map[string]Plan
-	lives    []int // of each gateway: what belongs to an earlier life of it is dropped
-	nextID   RequestID
+	settings    Settings
+	plans       map[string]Plan
+	processRuns []int // by gateway; events of an earlier run of its process are dropped
+	lastID      RequestID
 
-	// What an experiment wants to see.
+	// Callbacks of the experiment.
 	OnSend   func(from *HollowGateway, attempt Attempt)
 	OnAnswer func(request Request)
 	OnReject func(from *HollowGateway, request Request)
 }
 
-const meanWork = 100 * time.Millisecond // of an attempt
+const meanAttemptTime = 100 * time.Millisecond // of an attempt at a simulated backend
 
-// NewFleet starts all gateways of the settings, each with the list.
-func NewFleet(settings Settings, list []BackendInfo, meterLate time.Duration, seed uint64) (*Fleet, error) {
+// NewFleet starts all gateways of the settings with the list of backends. Meter readings arrive after readingDelay.
+func NewFleet(settings Settings, list []BackendInfo, readingDelay time.Duration, seed uint64) (*Fleet, error) {
 	random := rand.New(rand.NewPCG(seed, 2))
-	fleet := &Fleet{Clock: &Clock{now: start}, Random: random, settings: settings, plans: map[string]Plan{},
-		Backends: NewBackends(len(list), meanWork, random), Meter: NewMeter(settings.MeterPeriod, meterLate),
-		Gateways: make([]*HollowGateway, settings.Gateways), lives: make([]int, settings.Gateways),
-		OnSend: func(*HollowGateway, Attempt) {}, OnAnswer: func(Request) {}, OnReject: func(*HollowGateway, Request) {}}
+	fleet := &Fleet{Clock: &Clock{now: simulationStart}, Random: random, settings: settings, plans: map[string]Plan{},
+		Backends: NewBackends(len(list), meanAttemptTime, random), Meter: NewMeter(settings.MeterPeriod, readingDelay),
+		Gateways: make([]*HollowGateway, settings.Gateways), processRuns: make([]int, settings.Gateways),
+		OnSend: func(*HollowGateway, Attempt) {}, OnAnswer: func(Request) {},
+		OnReject: func(*HollowGateway, Request) {}}
 	for _, plan := range settings.Plans {
 		fleet.plans[plan.Name] = plan
 	}
@@ -45,71 +46,73 @@
 	return fleet, nil
 }
 
-// Restart begins a gateway's process from nothing but the list.
+// Restart replaces a gateway by a new process that has received the list and has no other state.
 func (f *Fleet) Restart(number int, list []BackendInfo) error {
 	hollow, err := NewHollowGateway(number, f.settings, f.Random.Uint64(), f.Clock.Now(), f)
 	if err != nil {
 		return err
 	}
-	f.lives[number]++
+	f.processRuns[number]++
 	f.Gateways[number] = hollow
-	hollow.TakeList(f.Clock.Now(), list)
+	hollow.ApplyList(f.Clock.Now(), list)
 	return nil
 }
 
-// alive wraps an event of a gateway that ends with its process.
-func (f *Fleet) alive(hollow *HollowGateway, run func()) func() {
-	life := f.lives[hollow.Number]
+// ifStillRunning returns a function that calls run unless the gateway was restarted in the meantime.
+func (f *Fleet) ifStillRunning(hollow *HollowGateway, run func()) func() {
+	processRun := f.processRuns[hollow.Number]
 	return func() {
-		if f.lives[hollow.Number] == life {
+		if f.processRuns[hollow.Number] == processRun {
 			run()
 		}
 	}
 }
 
-// Send brings an attempt to its backend.
-func (f *Fleet) Send(from *HollowGateway, attempt Attempt) {
+// Send implements Host. It sends an attempt to its simulated backend, records the first attempt of a request at the
+// meter and schedules the outcome.
+func (f *Fleet) Send(hollow *HollowGateway, attempt Attempt) {
 	request := attempt.Request
 	if attempt.Number == 0 {
 		f.Meter.Record(f.Clock.Now(), request.Customer, request.Units)
 	}
-	f.OnSend(from, attempt)
-	took, answered := f.Backends.Begin(attempt.Backend)
-	f.Clock.After(took, f.alive(from, func() {
+	f.OnSend(hollow, attempt)
+	duration, answered := f.Backends.StartAttempt(attempt.Backend)
+	f.Clock.AfterFunc(duration, f.ifStillRunning(hollow, func() {
 		now := f.Clock.Now()
 		if !answered {
-			from.Unreachable(now, attempt)
+			hollow.HandleConnectFailure(now, attempt)
 			return
 		}
 		f.OnAnswer(request)
-		from.Finish(now, attempt, took, f.Meter.Reading(now, request.Customer, f.plans[request.Plan].Rate))
+		hollow.HandleAnswer(now, attempt, duration, f.Meter.Reading(now, request.Customer, f.plans[request.Plan].Rate))
 	}))
 }
 
-// Reject counts a request that was refused or failed.
-func (f *Fleet) Reject(from *HollowGateway, request Request) { f.OnReject(from, request) }
+// Reject implements Host. It reports a rejected or failed request to the experiment.
+func (f *Fleet) Reject(hollow *HollowGateway, request Request) { f.OnReject(hollow, request) }
 
-// SetTimer brings the timer back when it is due.
-func (f *Fleet) SetTimer(from *HollowGateway, after time.Duration, token uint64) {
-	f.Clock.After(after, f.alive(from, func() { from.Fire(f.Clock.Now(), token) }))
+// SetTimer implements Host. It delivers the timer to the gateway after the delay.
+func (f *Fleet) SetTimer(hollow *HollowGateway, delay time.Duration, token uint64) {
+	f.Clock.AfterFunc(delay, f.ifStillRunning(hollow, func() { hollow.HandleTimer(f.Clock.Now(), token) }))
 }
 
-// Ask brings a request to a gateway.
-func (f *Fleet) Ask(number int, request Request) {
-	f.nextID++
-	request.ID = f.nextID
-	request.Patience = deadline
-	f.Gateways[number].Ask(f.Clock.Now(), request)
+// SubmitRequest sends a request to a gateway. It assigns the ID and the client timeout.
+func (f *Fleet) SubmitRequest(number int, request Request) {
+	f.lastID++
+	request.ID = f.lastID
+	request.Patience = requestDeadline
+	f.Gateways[number].HandleRequest(f.Clock.Now(), request)
 }
 
-// Arrivals lets requests come at random, so many a second, until the clock reaches end.
-func (f *Fleet) Arrivals(rate float64, end time.Duration, ask func()) {
-	wait := time.Duration(f.Random.ExpFloat64() / rate * float64(time.Second))
-	if f.Clock.Now()+wait > end {
+// ScheduleArrivals calls submit at the times of a Poisson process of the given rate per second, until the clock reaches
+// end.
+func (f *Fleet) ScheduleArrivals(rate float64, end time.Duration, submit func()) {
+	delay := time.Duration(f.Random.ExpFloat64() / rate * float64(time.Second))
+	if f.Clock.Now()+delay > end {
 		return
 	}
-	f.Clock.After(wait, func() {
-		ask()
-		f.Arrivals(rate, end, ask)
+	f.Clock.AfterFunc(delay, func() {
+		submit()
+		f.ScheduleArrivals(rate, end, submit)
 	})
 }
--- a/internal/scalelab/hollow.go
+++ b/internal/scalelab/hollow.go
@@ -7,126 +7,136 @@
 	"herontiller/internal/gateway"
 )
 
-// This file and fixture.go are the only ones that know the decision module; the others use the names below.
+// Only this file and fixture.go import the decision module, package gateway. The other files use the aliases below.
 type (
-	// Request is a client's request.
+	// Request is a request of a client.
 	Request = gateway.Request
-	// RequestID names a request.
+	// RequestID identifies a request.
 	RequestID = gateway.RequestID
-	// Outcome ends one attempt.
+	// Outcome reports how one attempt ended.
 	Outcome = gateway.Outcome
 	// BackendInfo is one entry of the list of backends.
 	BackendInfo = gateway.BackendInfo
-	// BackendID names a backend.
+	// BackendID identifies a backend.
 	BackendID = gateway.BackendID
-	// CustomerID names a customer.
+	// CustomerID identifies a customer.
 	CustomerID = gateway.CustomerID
 	// Settings are a gateway's settings.
 	Settings = gateway.Settings
-	// Plan is a customer's plan.
+	// Plan holds the quota and ceiling of the customers on a plan.
 	Plan = gateway.Plan
 )
 
-// Attempt is one attempt that a hollow gateway has asked for.
+// Attempt is one attempt that a hollow gateway decided to send.
 type Attempt struct {
 	Request Request
 	Backend BackendID
-	Number  int
+	Number  int // of the request's attempts, from 0
 }
 
-// Surroundings carry out what a hollow gateway decides.
-type Surroundings interface {
-	Send(from *HollowGateway, attempt Attempt)
-	Reject(from *HollowGateway, request Request)
-	SetTimer(from *HollowGateway, after time.Duration, token uint64)
+// Host carries out the decisions of a hollow gateway.
+type Host interface {
+	// Send sends an attempt to its backend.
+	Send(hollow *HollowGateway, attempt Attempt)
+	// Reject ends a request that the gateway rejected or that failed.
+	Reject(hollow *HollowGateway, request Request)
+	// SetTimer calls HandleTimer with the token after the delay.
+	SetTimer(hollow *HollowGateway, delay time.Duration, token uint64)
 }
 
-// HollowGateway is a real decision module without sockets: events in, actions to its surroundings.
+// HollowGateway is a real decision module without sockets. Its methods pass events to the module, and the host carries
+// out the resulting actions.
 type HollowGateway struct {
-	Number       int
-	module       *gateway.Gateway
-	surroundings Surroundings
-	actions      []gateway.Action
-	open         map[RequestID]*openRequest
+	Number   int
+	module   *gateway.Gateway
+	host     Host
+	actions  []gateway.Action
+	inFlight map[RequestID]*inFlightRequest
 }
 
-type openRequest struct {
+// inFlightRequest is a request without a final outcome, with the number of its attempts so far.
+type inFlightRequest struct {
 	request  Request
 	attempts int
 }
 
-// NewHollowGateway starts a decision module that knows no backends.
-func NewHollowGateway(number int, settings Settings, seed uint64, now time.Duration, surroundings Surroundings) (*HollowGateway, error) {
+// NewHollowGateway creates a hollow gateway with an empty list of backends.
+func NewHollowGateway(number int, settings Settings, seed uint64, now time.Duration,
+	host Host) (*HollowGateway, error) {
 	settings.Me = number
 	module, err := gateway.New(settings, seed, now)
 	if err != nil {
 		return nil, fmt.Errorf("hollow gateway %d: %w", number, err)
 	}
-	return &HollowGateway{Number: number, module: module, surroundings: surroundings, open: map[RequestID]*openRequest{}}, nil
+	return &HollowGateway{Number: number, module: module, host: host, inFlight: map[RequestID]*inFlightRequest{}}, nil
 }
 
-// TakeList replaces the whole list of backends.
-func (h *HollowGateway) TakeList(now time.Duration, backends []BackendInfo) {
+// ApplyList replaces the whole list of backends.
+func (h *HollowGateway) ApplyList(now time.Duration, backends []BackendInfo) {
 	h.handle(now, gateway.BackendList{Kind: gateway.ListFull, Backends: backends})
 }
 
-// TakeChanges takes in the entries of the list that changed.
-func (h *HollowGateway) TakeChanges(now time.Duration, backends []BackendInfo) {
+// ApplyChanges applies changed entries of the list of backends.
+func (h *HollowGateway) ApplyChanges(now time.Duration, backends []BackendInfo) {
 	h.handle(now, gateway.BackendList{Kind: gateway.ListChanges, Backends: backends})
 }
 
-// Ask brings a client's request.
-func (h *HollowGateway) Ask(now time.Duration, request Request) {
-	h.open[request.ID] = &openRequest{request: request}
+// HandleRequest handles a new request of a client.
+func (h *HollowGateway) HandleRequest(now time.Duration, request Request) {
+	h.inFlight[request.ID] = &inFlightRequest{request: request}
 	h.handle(now, request)
 }
 
-// Finish ends an attempt with a good answer that carries the meter's reading, in percent of the customer's rate.
-func (h *HollowGateway) Finish(now time.Duration, attempt Attempt, took time.Duration, use float64) {
-	delete(h.open, attempt.Request.ID)
+// HandleAnswer ends an attempt with a successful answer that carries the meter's reading, use, in percent of the
+// customer's rate.
+func (h *HollowGateway) HandleAnswer(now time.Duration, attempt Attempt, took time.Duration, use float64) {
+	delete(h.inFlight, attempt.Request.ID)
 	h.handle(now, Outcome{Request: attempt.Request.ID, Backend: attempt.Backend, Attempt: attempt.Number,
 		Result: gateway.Answered, Took: took, Final: true, HasUse: true, Use: use})
 }
 
-// Unreachable ends an attempt whose connection could not be made.
-func (h *HollowGateway) Unreachable(now time.Duration, attempt Attempt) {
+// HandleConnectFailure ends an attempt whose connection could not be established.
+func (h *HollowGateway) HandleConnectFailure(now time.Duration, attempt Attempt) {
 	h.handle(now, Outcome{Request: attempt.Request.ID, Backend: attempt.Backend, Attempt: attempt.Number,
 		Result: gateway.NoConnection})
 }
 
-// Fire brings a timer that has come due. Token 0 is the second's tick.
-func (h *HollowGateway) Fire(now time.Duration, token uint64) {
+// HandleTimer handles a timer that has fired. Token 0 is the tick that is due once per second.
+func (h *HollowGateway) HandleTimer(now time.Duration, token uint64) {
 	h.handle(now, gateway.Timer{Token: token})
 }
 
+// handle passes an event to the decision module and executes the resulting actions.
 func (h *HollowGateway) handle(now time.Duration, event gateway.Event) {
 	actions := h.module.Handle(now, event, h.actions[:0])
-	h.actions = nil // an action may lead to the next event
+	h.actions = nil // an action may cause another event, which must not reuse the slice
 	for _, action := range actions {
-		h.carryOut(action)
+		h.execute(action)
 	}
 	h.actions = actions
 }
 
-func (h *HollowGateway) carryOut(action gateway.Action) {
+// execute passes an action to the host.
+func (h *HollowGateway) execute(action gateway.Action) {
 	switch action := action.(type) {
 	case gateway.Send:
-		request := h.open[action.Request]
+		request := h.inFlight[action.Request]
 		number := request.attempts
 		request.attempts++
-		h.surroundings.Send(h, Attempt{Request: request.request, Backend: action.Backend, Number: number})
+		h.host.Send(h, Attempt{Request: request.request, Backend: action.Backend, Number: number})
 	case gateway.Reject:
 		h.reject(action.Request)
 	case gateway.Fail:
 		h.reject(action.Request)
 	case gateway.SetTimer:
-		h.surroundings.SetTimer(h, action.After, action.Token)
+		h.host.SetTimer(h, action.After, action.Token)
 	}
 }
 
+// reject passes a rejected or failed request to the host, unless the request has ended.
 func (h *HollowGateway) reject(id RequestID) {
-	if request := h.open[id]; request != nil {
-		delete(h.open, id)
-		h.surroundings.Reject(h, request.request)
+	if request := h.inFlight[id]; request != nil {
+		delete(h.inFlight, id)
+		h.host.Reject(h, request.request)
 	}
 }
--- a/internal/scalelab/load.go
+++ b/internal/scalelab/load.go
@@ -12,27 +12,28 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Latencies sums up the latencies of requests, counted from when each was due.
+// Latencies summarizes the latencies of requests. Each is measured from the time at which the request was due, so that
+// delays of the client count as well.
 type Latencies struct {
-	Requests int     `json:"requests"`
-	Failed   int     `json:"failed"` // answered other than 200, or not at all
-	Median   float64 `json:"median_us"`
-	P99      float64 `json:"p99_us"`
-	Most     float64 `json:"most_us"`
+	Requests     int     `json:"requests"`
+	Failed       int     `json:"failed"` // no answer, or a status other than 200
+	MedianMicros float64 `json:"median_us"`
+	P99Micros    float64 `json:"p99_us"`
+	MaxMicros    float64 `json:"most_us"`
 }
 
 const clientTimeout = 3 * time.Second
 
-// loadClient asks one address over kept connections.
+// loadClient sends requests to one address over persistent connections and records their latencies.
 type loadClient struct {
 	address   string
 	transport *http.Transport
-	next      uint64
+	lastID    uint64
 
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram // microseconds
 	failed    int
-	count     int
+	count     int // all requests
 }
 
 func newLoadClient(address string) *loadClient {
@@ -41,8 +42,8 @@
 			MaxIdleConnsPerHost: TargetRequestRate, DisableCompression: true}}
 }
 
-// ask sends one request that was due at a moment.
-func (c *loadClient) ask(ctx context.Context, id uint64, due time.Time) {
+// send sends one request that was due at the given time and records its latency.
+func (c *loadClient) send(ctx context.Context, id uint64, due time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address+"/"+className(0), nil)
@@ -51,8 +52,9 @@
 		return
 	}
 	for name, value := range map[string]string{"Request-Id": fmt.Sprintf("%016x", id), "Request-Class": className(0),
-		"X-Tier": widePlan, "X-Api-Key": fmt.Sprintf("%016x", id%uint64(slopeBase.Customers)), "Request-Timeout": "2.5",
-		"X-Call-Terms": "units=1,spread=1,first=0"} {
+		"X-Tier": amplePlan, "X-Api-Key": fmt.Sprintf("%016x", id%uint64(slopeBase.Customers)),
+		"Request-Timeout": "2.5",
+		"X-Call-Terms":    "units=1,spread=1,first=0"} {
 		request.Header.Set(name, value)
 	}
 	response, err := c.transport.RoundTrip(request)
@@ -66,8 +68,9 @@
 	c.record(due, err)
 }
 
+// record counts a request and, if it succeeded, its latency.
 func (c *loadClient) record(due time.Time, err error) {
-	took := time.Since(due)
+	latency := time.Since(due)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.count++
@@ -75,51 +78,52 @@
 		c.failed++
 		return
 	}
-	_ = c.histogram.RecordValue(min(took.Microseconds(), int64(time.Minute/time.Microsecond)))
+	_ = c.histogram.RecordValue(min(latency.Microseconds(), int64(time.Minute/time.Microsecond)))
 }
 
-// steady asks at an even rate for a time.
-func (c *loadClient) steady(ctx context.Context, rate int, length time.Duration) {
+// sendSteadily sends requests at a constant rate per second for the duration, and waits for all of them.
+func (c *loadClient) sendSteadily(ctx context.Context, rate int, duration time.Duration) {
 	var running sync.WaitGroup
 	begin := time.Now()
-	for i := range int(length.Seconds() * float64(rate)) {
+	for i := range int(duration.Seconds() * float64(rate)) {
 		due := begin.Add(time.Duration(i) * time.Second / time.Duration(rate))
 		time.Sleep(time.Until(due))
 		if ctx.Err() != nil {
 			break
 		}
-		c.next++
-		id := c.next
-		running.Go(func() { c.ask(ctx, id, due) })
+		c.lastID++
+		id := c.lastID
+		running.Go(func() { c.send(ctx, id, due) })
 	}
 	running.Wait()
 }
 
-// bursts asks count times at one moment, and does so again after each pause.
-func (c *loadClient) bursts(ctx context.Context, count, times int, pause time.Duration) {
-	for range times {
+// sendBursts sends bursts of size requests at once. It waits for all requests of a burst, and then for the pause,
+// before the next burst.
+func (c *loadClient) sendBursts(ctx context.Context, size, bursts int, pause time.Duration) {
+	for range bursts {
 		if ctx.Err() != nil {
 			return
 		}
 		var running sync.WaitGroup
 		due := time.Now()
-		for range count {
-			c.next++
-			id := c.next
-			running.Go(func() { c.ask(ctx, id, due) })
+		for range size {
+			c.lastID++
+			id := c.lastID
+			running.Go(func() { c.send(ctx, id, due) })
 		}
 		running.Wait()
 		time.Sleep(pause)
 	}
 }
 
-// take gives what was measured, and begins anew.
-func (c *loadClient) take() Latencies {
+// takeResults returns the summary of the requests since the last call and resets the counts.
+func (c *loadClient) takeResults() Latencies {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	taken := Latencies{Requests: c.count, Failed: c.failed, Median: float64(c.histogram.ValueAtQuantile(50)),
-		P99: float64(c.histogram.ValueAtQuantile(99)), Most: float64(c.histogram.Max())}
+	latencies := Latencies{Requests: c.count, Failed: c.failed, MedianMicros: float64(c.histogram.ValueAtQuantile(50)),
+		P99Micros: float64(c.histogram.ValueAtQuantile(99)), MaxMicros: float64(c.histogram.Max())}
 	c.histogram.Reset()
 	c.count, c.failed = 0, 0
-	return taken
+	return latencies
 }
--- a/internal/scalelab/meter.go
+++ b/internal/scalelab/meter.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// Meter is a stand-in for the meter of use: it sums what all gateways send on for a customer over each period, and its
-// readings come late.
+// Meter simulates the usage meter: it sums the units that all gateways send to backends for a customer in each period.
+// Its readings become available after a delay.
 type Meter struct {
-	period, late time.Duration
-	periods      map[CustomerID]map[int64]float64 // units
+	period, delay time.Duration
+	unitsByPeriod map[CustomerID]map[int64]float64 // by customer and index of the period
 }
 
-// NewMeter starts a meter whose readings are so late.
-func NewMeter(period, late time.Duration) *Meter {
-	return &Meter{period: period, late: late, periods: map[CustomerID]map[int64]float64{}}
+// NewMeter returns a meter whose readings become available the given delay after the end of their period.
+func NewMeter(period, delay time.Duration) *Meter {
+	return &Meter{period: period, delay: delay, unitsByPeriod: map[CustomerID]map[int64]float64{}}
 }
 
-// Record counts units that were sent on.
+// Record counts units that a gateway sent to a backend.
 func (m *Meter) Record(now time.Duration, customer CustomerID, units float64) {
-	periods := m.periods[customer]
+	periods := m.unitsByPeriod[customer]
 	if periods == nil {
 		periods = map[int64]float64{}
-		m.periods[customer] = periods
+		m.unitsByPeriod[customer] = periods
 	}
 	current := int64(now / m.period)
 	periods[current] += units
-	delete(periods, current-int64(m.late/m.period)-8) // older than any reading tells of
+	delete(periods, current-int64(m.delay/m.period)-8) // too old for any later reading
 }
 
-// Reading is the use in the last finished period that is told by now, in percent of the rate.
+// Reading returns the usage in the last finished period whose reading is available, in percent of the rate. It returns
+// 0 for a rate that is not positive.
 func (m *Meter) Reading(now time.Duration, customer CustomerID, rate float64) float64 {
 	if rate <= 0 {
 		return 0
 	}
-	period := int64((now-m.late)/m.period) - 1
-	return 100 * m.periods[customer][period] / (rate * m.period.Seconds())
+	period := int64((now-m.delay)/m.period) - 1
+	return 100 * m.unitsByPeriod[customer][period] / (rate * m.period.Seconds())
 }
--- a/internal/scalelab/program.go
+++ b/internal/scalelab/program.go
@@ -8,36 +8,37 @@
 	"herontiller/internal/frontdoor"
 )
 
-// lastTimer is how long a closed loop's last timer may still wait.
-const lastTimer = 1100 * time.Millisecond
+// loopTimerDelay is the longest time until the last timer of a closed loop fires.
+const loopTimerDelay = 1100 * time.Millisecond
 
-// measureProgram measures what the real program spends around the decision module: the configuration file read, the
-// list and its changes taken in by the loop that owns the module. Nothing is sent on sockets.
+// measureProgram measures the cost of the real program around the decision module: loading the configuration file, and
+// applying the list and its changes in the event loop that owns the module. It uses no sockets.
 func (c *Cost) measureProgram(backends []BackendInfo, settings Settings, random *rand.Rand) error {
 	var config frontdoor.Config
 	var err error
-	c.SettingsMicros = micros(func() { config, err = realConfig(settings, "127.0.0.1:1") }, 1)
+	c.SettingsMicros = processorMicros(func() { config, err = loadRealConfig(settings, "127.0.0.1:1") }, 1)
 	if err != nil {
 		return err
 	}
 	hosts := make([]frontdoor.Endpoint, len(backends))
 	for i, backend := range backends {
-		hosts[i] = endpoint(ready(backend, 0), backendAddress(backend.ID))
+		hosts[i] = toEndpoint(asReady(backend, 0), backendAddress(backend.ID))
 	}
-	before := heapInUse()
+	before := liveHeapBytes()
 	loop, err := frontdoor.NewLoop(config, frontdoor.NewBackends(config))
 	if err != nil {
 		return err
 	}
 	defer func() {
 		loop.Close()
-		time.Sleep(lastTimer) // until then its timer holds the loop, and what is measured next would begin with its memory
+		// A pending timer keeps a reference to the loop, whose memory would count in the next measurement.
+		time.Sleep(loopTimerDelay)
 	}()
-	c.ProgramListMicros = micros(func() {
+	c.ProgramListMicros = processorMicros(func() {
 		loop.Update(frontdoor.EndpointList{Seq: 1, Whole: true, Hosts: hosts})
 	}, 1)
-	c.ProgramStateBytes = float64(heapInUse()) - float64(before)
-	c.ProgramChangeMicros = micros(func() {
+	c.ProgramStateBytes = float64(liveHeapBytes()) - float64(before)
+	c.ProgramChangeMicros = processorMicros(func() {
 		for range measuredChanges / 2 {
 			host := hosts[random.IntN(len(hosts))]
 			for _, health := range []string{"Terminating", "Ready"} {
--- a/internal/scalelab/quota.go
+++ b/internal/scalelab/quota.go
@@ -8,161 +8,175 @@
 	"time"
 )
 
-// QuotaResult tells how a customer's quota and ceiling are held by all of the gateways that it uses together.
+// QuotaResult describes how well the gateways that a customer uses enforce its quota and ceiling together.
 type QuotaResult struct {
-	Gateways        int     `json:"gateways"` // of the fleet
-	Spread          int     `json:"spread"`   // gateways that each customer uses
-	Rate            float64 `json:"rate"`     // of the quota, units a second
-	HasCeiling      bool    `json:"has_ceiling"`
-	Sent            float64 `json:"sent"`   // units of customers that ask for overAsk times their quota, over it
-	Beyond          float64 `json:"beyond"` // share of the units sent that true stores had no room for
-	CalmServed      float64 `json:"calm_served"`
-	CeilingOverrun  float64 `json:"ceiling_overrun"` // units under its empty store that a ceiling was ever driven, over its slack
-	Requests        int     `json:"requests"`
-	SimulatedTime   string  `json:"simulated_time"`
-	ProcessorTime   string  `json:"processor_time"`
-	MemoryMegabytes float64 `json:"memory_mb"` // live heap of all gateways at the end
+	Gateways         int     `json:"gateways"` // of the fleet
+	Spread           int     `json:"spread"`   // gateways that each customer uses
+	Rate             float64 `json:"rate"`     // of the quota, units per second
+	HasCeiling       bool    `json:"has_ceiling"`
+	HeavySentRatio   float64 `json:"sent"`            // units sent for heavy customers over their quotas
+	ExcessShare      float64 `json:"beyond"`          // share of the sent units beyond the exact buckets
+	LightServedShare float64 `json:"calm_served"`     // share of the units requested by light customers that was sent
+	CeilingOverrun   float64 `json:"ceiling_overrun"` // largest overdraft of an exact ceiling bucket over the slack
+	Requests         int     `json:"requests"`
+	SimulatedTime    string  `json:"simulated_time"`
+	ProcessorTime    string  `json:"processor_time"`
+	MemoryMegabytes  float64 `json:"memory_mb"` // live heap of all gateways at the end
 }
 
 const (
-	overAsk       = 4.0 // times its quota is what a heavy customer asks for
-	calmAsk       = 0.5 // ... and a calm one
-	heavyCount    = 4
-	calmCount     = 12
-	meterLate     = 700 * time.Millisecond
-	quotaTime     = 20 * time.Second
+	heavyDemand   = 4.0                    // requested units of a heavy customer over its quota
+	lightDemand   = 0.5                    // requested units of a light customer over its quota
+	heavyCount    = 4                      // heavy customers
+	lightCount    = 12                     // light customers
+	meterDelay    = 700 * time.Millisecond // from the end of a meter period until its reading is available
+	quotaDuration = 20 * time.Second
 	quotaBackends = 20
-	quotaPlan     = "quota"
-	burstSeconds  = 3.0 // of the rate
-	ceilingFactor = 2.0 // of rate and burst
-	meanUnits     = 2.0
+	quotaPlan     = "quota" // name of the plan
+	burstSeconds  = 3.0     // burst of the quota over its rate
+	ceilingFactor = 2.0     // rate and burst of the ceiling over those of the quota
+	meanUnits     = 2.0     // of a request
 )
 
-// trueStore is a quota's or a ceiling's true state, which no gateway sees.
-type trueStore struct {
-	units, rate, burst float64
-	at                 time.Duration
+// trueBucket is an exact token bucket of a quota or a ceiling over all gateways. It serves as the reference for their
+// decisions; no gateway sees it.
+type trueBucket struct {
+	tokens, rate, burst float64
+	refilledAt          time.Duration
 }
 
-func (s *trueStore) fill(now time.Duration) {
-	s.units = min(s.burst, s.units+s.rate*(now-s.at).Seconds())
-	s.at = now
+// refill adds the tokens earned since the last refill.
+func (s *trueBucket) refill(now time.Duration) {
+	s.tokens = min(s.burst, s.tokens+s.rate*(now-s.refilledAt).Seconds())
+	s.refilledAt = now
 }
 
-// quotaCustomer is what the lab knows of a customer.
+// quotaCustomer is a simulated customer with its exact buckets and its totals.
 type quotaCustomer struct {
-	quota, ceiling      trueStore
-	first               int
-	asked, sent, beyond float64
-	lowest              float64 // of its ceiling's store
+	quota, ceiling                         trueBucket
+	firstGateway                           int
+	requestedUnits, sentUnits, excessUnits float64
+	minCeilingTokens                       float64 // negative after an overdraft
 }
 
-// PlayQuota plays customers of one spread before all gateways of a fleet.
-func PlayQuota(ctx context.Context, gateways, spread int, rate float64, hasCeiling bool, seed uint64) (QuotaResult, error) {
+// RunQuota simulates heavy and light customers, each of which uses spread of the fleet's gateways. Their quota has the
+// given rate in units per second.
+func RunQuota(ctx context.Context, gateways, spread int, rate float64, hasCeiling bool,
+	seed uint64) (QuotaResult, error) {
 	result := QuotaResult{Gateways: gateways, Spread: spread, Rate: rate, HasCeiling: hasCeiling,
-		SimulatedTime: quotaTime.String()}
+		SimulatedTime: quotaDuration.String()}
 	if spread < 1 || spread > gateways {
-		return result, fmt.Errorf("a customer can't use %d of %d gateways", spread, gateways)
+		return result, fmt.Errorf("a customer cannot use %d of %d gateways", spread, gateways)
 	}
-	size := Size{Backends: quotaBackends, Customers: heavyCount + calmCount, Classes: 1, Gateways: gateways}
+	size := Size{Backends: quotaBackends, Customers: heavyCount + lightCount, Classes: 1, Gateways: gateways}
 	if err := size.Validate(); err != nil {
 		return result, err
 	}
 	if !(rate > 0) || math.IsInf(rate, 0) {
-		return result, fmt.Errorf("a quota of %g units a second can't be played", rate)
+		return result, fmt.Errorf("a quota of %g units per second: must be positive and finite", rate)
 	}
-	before, used := heapInUse(), processorTime()
+	heapBefore, processorBefore := liveHeapBytes(), processorTime()
 	settings := newSettings(size)
 	plan := Plan{Name: quotaPlan, Rate: rate, Burst: burstSeconds * rate, Price: 1, OverCost: 1}
 	if hasCeiling {
-		plan.CeilingRate, plan.CeilingBurst, plan.CeilingSlack = ceilingFactor*rate, ceilingFactor*plan.Burst, largestUnit
+		plan.CeilingRate, plan.CeilingBurst, plan.CeilingSlack =
+			ceilingFactor*rate, ceilingFactor*plan.Burst, maxRequestUnits
 	}
 	settings.Plans = []Plan{plan}
-	fleet, err := NewFleet(settings, newBackends(size.Backends), meterLate, seed)
+	fleet, err := NewFleet(settings, newBackends(size.Backends), meterDelay, seed)
 	if err != nil {
 		return result, err
 	}
-	play := newQuotaPlay(fleet, plan, spread)
-	end := start + quotaTime
-	fleet.Arrivals((heavyCount*overAsk+calmCount*calmAsk)*rate/meanUnits, end, play.ask)
+	simulation := newQuotaSimulation(fleet, plan, spread)
+	end := simulationStart + quotaDuration
+	fleet.ScheduleArrivals((heavyCount*heavyDemand+lightCount*lightDemand)*rate/meanUnits, end,
+		simulation.submitRequest)
 	fleet.Clock.RunUntil(end, func() bool { return ctx.Err() != nil })
-	play.sum(&result, quotaTime)
-	result.MemoryMegabytes = (float64(heapInUse()) - float64(before)) / (1 << 20)
+	simulation.summarize(&result, quotaDuration)
+	result.MemoryMegabytes = (float64(liveHeapBytes()) - float64(heapBefore)) / (1 << 20)
 	runtime.KeepAlive(fleet)
-	result.ProcessorTime = (processorTime() - used).Round(time.Millisecond).String()
+	result.ProcessorTime = (processorTime() - processorBefore).Round(time.Millisecond).String()
 	return result, ctx.Err()
 }
 
-type quotaPlay struct {
+// quotaSimulation generates the requests of the quota experiment and measures what the gateways send.
+type quotaSimulation struct {
 	fleet     *Fleet
 	spread    int
 	customers []quotaCustomer
 	requests  int
 }
 
-func newQuotaPlay(fleet *Fleet, plan Plan, spread int) *quotaPlay {
-	play := &quotaPlay{fleet: fleet, spread: spread, customers: make([]quotaCustomer, heavyCount+calmCount)}
-	for i := range play.customers {
-		play.customers[i] = quotaCustomer{first: fleet.Random.IntN(len(fleet.Gateways)),
-			quota:   trueStore{units: plan.Burst, rate: plan.Rate, burst: plan.Burst, at: start},
-			ceiling: trueStore{units: plan.CeilingBurst, rate: plan.CeilingRate, burst: plan.CeilingBurst, at: start}}
+func newQuotaSimulation(fleet *Fleet, plan Plan, spread int) *quotaSimulation {
+	simulation := &quotaSimulation{fleet: fleet, spread: spread,
+		customers: make([]quotaCustomer, heavyCount+lightCount)}
+	for i := range simulation.customers {
+		simulation.customers[i] = quotaCustomer{firstGateway: fleet.Random.IntN(len(fleet.Gateways)),
+			quota: trueBucket{tokens: plan.Burst, rate: plan.Rate, burst: plan.Burst, refilledAt: simulationStart},
+			ceiling: trueBucket{tokens: plan.CeilingBurst, rate: plan.CeilingRate, burst: plan.CeilingBurst,
+				refilledAt: simulationStart}}
 	}
-	fleet.OnSend = play.sent
-	return play
+	fleet.OnSend = simulation.recordSend
+	return simulation
 }
 
-// ask lets one customer ask: a heavy one as much more often as it asks for more.
-func (p *quotaPlay) ask() {
-	random := p.fleet.Random
+// submitRequest sends a request of a random customer. Heavy and light customers request equal units each time, so the
+// heavy ones are drawn more often, in proportion to their demand.
+func (s *quotaSimulation) submitRequest() {
+	random := s.fleet.Random
 	number := random.IntN(heavyCount)
-	if random.Float64() < calmCount*calmAsk/(calmCount*calmAsk+heavyCount*overAsk) {
-		number = heavyCount + random.IntN(calmCount)
+	if random.Float64() < lightCount*lightDemand/(lightCount*lightDemand+heavyCount*heavyDemand) {
+		number = heavyCount + random.IntN(lightCount)
 	}
-	customer := &p.customers[number]
-	units := min(largestUnit, 1+math.Floor(random.ExpFloat64()*1.5))
-	customer.asked += units
-	p.requests++
-	uneven := int(float64(p.spread) * math.Pow(random.Float64(), 2.5)) // the first gateway gets several times the last's
-	gateway := (customer.first + uneven) % len(p.fleet.Gateways)
-	p.fleet.Ask(gateway, Request{Customer: CustomerID(number), Class: className(0), Plan: quotaPlan, Units: units,
-		FirstGateway: customer.first, Spread: p.spread})
+	customer := &s.customers[number]
+	units := min(maxRequestUnits, 1+math.Floor(random.ExpFloat64()*1.5))
+	customer.requestedUnits += units
+	s.requests++
+	// Uneven use: the first gateway receives several times the requests of the last.
+	offset := int(float64(s.spread) * math.Pow(random.Float64(), 2.5))
+	gateway := (customer.firstGateway + offset) % len(s.fleet.Gateways)
+	s.fleet.SubmitRequest(gateway, Request{Customer: CustomerID(number), Class: className(0), Plan: quotaPlan,
+		Units:        units,
+		FirstGateway: customer.firstGateway, Spread: s.spread})
 }
 
-func (p *quotaPlay) sent(_ *HollowGateway, attempt Attempt) {
+// recordSend checks the first attempt of a request against the exact buckets of its customer.
+func (s *quotaSimulation) recordSend(_ *HollowGateway, attempt Attempt) {
 	if attempt.Number > 0 {
 		return
 	}
-	customer, units, now := &p.customers[attempt.Request.Customer], attempt.Request.Units, p.fleet.Clock.Now()
-	customer.sent += units
-	customer.quota.fill(now)
-	if customer.quota.units < units {
-		customer.beyond += units
+	customer, units, now := &s.customers[attempt.Request.Customer], attempt.Request.Units, s.fleet.Clock.Now()
+	customer.sentUnits += units
+	customer.quota.refill(now)
+	if customer.quota.tokens < units {
+		customer.excessUnits += units
 	} else {
-		customer.quota.units -= units
+		customer.quota.tokens -= units
 	}
 	if customer.ceiling.rate > 0 {
-		customer.ceiling.fill(now)
-		customer.ceiling.units -= units
-		customer.lowest = min(customer.lowest, customer.ceiling.units)
+		customer.ceiling.refill(now)
+		customer.ceiling.tokens -= units
+		customer.minCeilingTokens = min(customer.minCeilingTokens, customer.ceiling.tokens)
 	}
 }
 
-func (p *quotaPlay) sum(result *QuotaResult, length time.Duration) {
-	var heavySent, beyond, sent, calmAsked, calmSent, allowed float64
-	for i, customer := range p.customers {
-		beyond += customer.beyond
-		sent += customer.sent
-		result.CeilingOverrun = max(result.CeilingOverrun, -customer.lowest/largestUnit)
+// summarize adds up the customers' totals over a simulation of the given length.
+func (s *quotaSimulation) summarize(result *QuotaResult, length time.Duration) {
+	var heavySent, excess, sent, lightRequested, lightSent, allowed float64
+	for i, customer := range s.customers {
+		excess += customer.excessUnits
+		sent += customer.sentUnits
+		result.CeilingOverrun = max(result.CeilingOverrun, -customer.minCeilingTokens/maxRequestUnits)
 		if i < heavyCount {
-			heavySent += customer.sent
+			heavySent += customer.sentUnits
 			allowed += customer.quota.burst + customer.quota.rate*length.Seconds()
 		} else {
-			calmAsked += customer.asked
-			calmSent += customer.sent
+			lightRequested += customer.requestedUnits
+			lightSent += customer.sentUnits
 		}
 	}
-	result.Sent = heavySent / allowed
-	result.Beyond = beyond / max(1, sent)
-	result.CalmServed = calmSent / max(1, calmAsked)
-	result.Requests = p.requests
+	result.HeavySentRatio = heavySent / allowed
+	result.ExcessShare = excess / max(1, sent)
+	result.LightServedShare = lightSent / max(1, lightRequested)
+	result.Requests = s.requests
 }
--- a/internal/scalelab/realconfig.go
+++ b/internal/scalelab/realconfig.go
@@ -8,20 +8,21 @@
 	"herontiller/internal/frontdoor"
 )
 
-// gatewaySockets is how many descriptors a real gateway of the lab may use.
-const gatewaySockets = 8192
+// maxGatewaySockets is the limit on sockets in the configuration of a real gateway.
+const maxGatewaySockets = 8192
 
-// realConfig lets the real program's code read a configuration file of the settings.
-func realConfig(settings Settings, discovery string) (frontdoor.Config, error) {
-	folder, err := os.MkdirTemp("", "scalelab")
+// loadRealConfig writes the settings to a temporary configuration file and loads it with the gateway's own loader, so
+// that the cost and the checks of the real program apply.
+func loadRealConfig(settings Settings, discoveryAddress string) (frontdoor.Config, error) {
+	directory, err := os.MkdirTemp("", "scalelab")
 	if err != nil {
 		return frontdoor.Config{}, err
 	}
-	defer os.RemoveAll(folder)
-	path := filepath.Join(folder, "config.json")
+	defer os.RemoveAll(directory)
+	path := filepath.Join(directory, "config.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1",`+
 		`"limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":{"seq":0,"whole":true,"hosts":[]},"settings":%s}`,
-		discovery, gatewaySockets, settingsText(settings))
+		discoveryAddress, maxGatewaySockets, encodeSettings(settings))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return frontdoor.Config{}, err
 	}
--- a/internal/scalelab/report.go
+++ b/internal/scalelab/report.go
@@ -7,18 +7,18 @@
 	"text/tabwriter"
 )
 
-// WriteJSON writes the report for programs.
+// WriteJSON writes the report as indented JSON.
 func (r *Report) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", " ")
 	return encoder.Encode(r)
 }
 
-// WriteTable writes the report for people.
+// WriteTable writes the report as text tables.
 func (r *Report) WriteTable(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if r.CutShort != "" {
-		fmt.Fprintf(table, "CUT SHORT: %s\nWhat follows is not all of the run.\n\n", r.CutShort)
+		fmt.Fprintf(table, "CUT SHORT: %s\nThe results below are incomplete.\n\n", r.CutShort)
 	}
 	fmt.Fprintf(table, "seed %d, experiments %v\n", r.Options.Seed, r.Options.Experiments)
 	r.writeSlopes(table)
@@ -35,7 +35,8 @@
 		return
 	}
 	fmt.Fprintf(out, "\nOne gateway; base %+v, %d repeats of each size\n", r.Slopes.Base, r.Slopes.Repeats)
-	fmt.Fprintln(out, "(figures that the size does not change by 1 in 100 are in the JSON only)\nagainst\tfigure\tunit\tmeans by size\tslope\terror\tR2\texponent\terror")
+	fmt.Fprintln(out,
+		"(figures that vary by at most 1 percent are in the JSON only)\ndimension\tfigure\tunit\tmeans by size\tslope\terror\tR2\texponent\terror")
 	for _, slope := range r.Slopes.Slopes {
 		if !slope.varies() {
 			continue
@@ -60,12 +61,13 @@
 	if len(r.Quota) == 0 {
 		return
 	}
-	fmt.Fprintf(out, "\nQuotas over many of %d gateways, %s played; heavy customers ask for %g times the quota, calm ones for %g\n",
-		r.Options.Gateways, quotaTime, overAsk, calmAsk)
-	fmt.Fprintln(out, "gateways of a customer\tunits/s\tceiling\theavy: sent over quota\tbeyond\tcalm: served\tceiling overrun")
+	fmt.Fprintf(out, "\nQuotas over many of %d gateways, %s simulated; demand over quota: heavy %g, light %g\n",
+		r.Options.Gateways, quotaDuration, heavyDemand, lightDemand)
+	fmt.Fprintln(out, "gateways/customer\tunits/s\tceiling\theavy: sent over quota\texcess\tlight: served\toverrun")
 	for _, quota := range r.Quota {
-		fmt.Fprintf(out, "%d\t%g\t%t\t%.3f\t%.4f\t%.3f\t%.2f\n", quota.Spread, quota.Rate, quota.HasCeiling, quota.Sent,
-			quota.Beyond, quota.CalmServed, quota.CeilingOverrun)
+		fmt.Fprintf(out, "%d\t%g\t%t\t%.3f\t%.4f\t%.3f\t%.2f\n", quota.Spread, quota.Rate, quota.HasCeiling,
+			quota.HeavySentRatio,
+			quota.ExcessShare, quota.LightServedShare, quota.CeilingOverrun)
 	}
 }
 
@@ -74,17 +76,19 @@
 		return
 	}
 	sums := r.Sums
-	fmt.Fprintf(out, "\n%d gateways at once, %d backends, %g requests a second each\n", sums.Gateways, sums.Backends, sums.RequestRate)
+	fmt.Fprintf(out, "\n%d gateways at once, %d backends, %g requests per second each\n",
+		sums.Gateways, sums.Backends, sums.RequestRate)
 	for _, row := range []struct {
 		name  string
 		value any
-	}{{"requests", sums.Requests}, {"rejected", sums.Rejected}, {"whole lists taken", sums.ListsTaken},
-		{"changed entries taken", sums.ChangesTaken}, {"heap of a gateway, bytes", sums.BytesOfGateway},
-		{"backends in use of a gateway", sums.BackendsOfGateway}, {"gateways in use of a backend, mean", sums.ConnectionsMean},
-		{"gateways in use of a backend, most", sums.ConnectionsMost}, {"attempts of a backend, mean", sums.AttemptsMean},
-		{"... busiest over the mean", sums.LoadMost}, {"... idlest over the mean", sums.LoadLeast},
-		{"backends replaced", sums.Replaced}, {"gateways restarted at that moment", sums.RestartedGateways},
-		{"sends to a cold backend over what makes it fall", sums.ColdWorst}, {"processor time", sums.ProcessorTime}} {
+	}{{"requests", sums.Requests}, {"rejected", sums.Rejected}, {"whole lists applied", sums.ListsTaken},
+		{"changed entries applied", sums.ChangesTaken}, {"heap per gateway, bytes", sums.BytesPerGateway},
+		{"backends in use per gateway", sums.BackendsPerGateway}, {"gateways per backend, mean", sums.MeanConnections},
+		{"gateways per backend, maximum", sums.MaxConnections}, {"attempts per backend, mean", sums.MeanAttempts},
+		{"attempts of the busiest backend over the mean", sums.MaxLoad},
+		{"attempts of the least busy backend over the mean", sums.MinLoad},
+		{"backends replaced", sums.ReplacedBackends}, {"gateways restarted at the same time", sums.RestartedGateways},
+		{"sends to a cold backend over its overload limit", sums.MaxColdLoad}, {"processor time", sums.ProcessorTime}} {
 		if value, ok := row.value.(float64); ok {
 			row.value = fmt.Sprintf("%.4g", value)
 		}
@@ -94,38 +98,48 @@
 
 func (r *Report) writeChurn(out io.Writer) {
 	for _, churn := range r.Churn {
-		fmt.Fprintf(out, "\nA day's changes before %d gateways with %d backends; each gateway: %.0f bytes, %.0f ms of processor time\n",
-			churn.Gateways, churn.Backends, churn.DayBytes, churn.DayCPUMillis)
-		fmt.Fprintln(out, "what\tentries\tmessages\twhole lists\tbytes/gateway\tCPU ms/gateway\tmost bytes/s\tmost CPU ms/s\t"+
-			"in force: median ms\t99th\tlast")
+		fmt.Fprintf(out, "\nList changes of a day, %d gateways, %d backends; per gateway: %.0f bytes, %.0f ms CPU\n",
+			churn.Gateways, churn.Backends, churn.BytesPerDay, churn.CPUMillisPerDay)
+		fmt.Fprintln(out,
+			"change\tentries\tmessages\twhole lists\tbytes/gateway\tCPU ms/gateway\tmax bytes/s\tmax CPU ms/s\t"+
+				"until applied: median ms\t99th\tmax")
 		for _, phase := range churn.Phases {
-			fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%.0f\t%.1f\t%d\t%.1f\t%.0f\t%.0f\t%.0f\n", phase.Name, phase.Published, phase.Messages,
-				phase.WholeLists, phase.Bytes, phase.CPUMillis, phase.MostBytes, phase.MostCPUMillis, phase.MedianMillis,
-				phase.P99Millis, phase.LastMillis)
+			fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%.0f\t%.1f\t%d\t%.1f\t%.0f\t%.0f\t%.0f\n", phase.Name,
+				phase.PublishedEntries, phase.Messages,
+				phase.WholeLists, phase.BytesPerGateway, phase.CPUMillisPerGateway,
+				phase.MaxBytesPerSecond, phase.MaxCPUMillisPerSecond,
+				phase.MedianDelayMillis,
+				phase.P99DelayMillis, phase.MaxDelayMillis)
 		}
 	}
 }
 
 func (r *Report) writeSockets(out io.Writer) {
 	if len(r.Watches) > 0 {
-		fmt.Fprintln(out, "\nA change until it is known, real discovery code on real sockets")
-		fmt.Fprintln(out, "gateways\tcase\tknown\tmedian ms\t99th\tlast\tCPU ms/gateway")
+		fmt.Fprintln(out, "\nTime until a change is received; real discovery code on real sockets")
+		fmt.Fprintln(out, "gateways\tcase\treceived by\tmedian ms\t99th\tmax\tCPU ms/gateway")
 	}
 	for _, watch := range r.Watches {
-		fmt.Fprintf(out, "%d\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.3f\n", watch.Gateways, watch.Case, watch.Known, watch.Median, watch.P99,
-			watch.Last, watch.CPU)
+		fmt.Fprintf(out, "%d\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.3f\n",
+			watch.Gateways, watch.Case, watch.NotifiedGateways,
+			watch.MedianMillis, watch.P99Millis,
+			watch.MaxMillis, watch.CPUMillisPerGateway)
 	}
 	if len(r.Sockets) == 0 {
 		return
 	}
-	fmt.Fprintf(out, "\nA real gateway at %d requests a second, and in bursts of as many at once; us unless said\n", TargetRequestRate)
-	fmt.Fprintln(out, "listed\tlist bytes\ttaken\tin ms\tpeak MB\tadded median\tadded 99th\tadded CPU\tidle CPU %\t"+
+	fmt.Fprintf(out, "\nA real gateway at %d requests per second, and with bursts of as many; us unless noted\n",
+		TargetRequestRate)
+	fmt.Fprintln(out, "listed\tlist bytes\tapplied\tin ms\tpeak MB\tadded median\tadded 99th\tadded CPU\tidle CPU %\t"+
 		"failed\tburst: added 99th\tfailed\tdirect 99th")
 	for _, socket := range r.Sockets {
-		fmt.Fprintf(out, "%d\t%d\t%t\t%.1f\t%.1f\t%.0f\t%.0f\t%.0f\t%.2f\t%d of %d\t%.0f\t%d of %d\t%.0f\n", socket.Listed,
-			socket.ListBytes, socket.ListTaken, socket.ListMillis, socket.ListMegabytes, socket.AddedMedian, socket.AddedP99,
-			socket.AddedCPU, socket.IdleCPU*100, socket.Steady.Failed, socket.Steady.Requests, socket.AddedBurstP99,
-			socket.Burst.Failed, socket.Burst.Requests, socket.Direct.P99)
+		fmt.Fprintf(out, "%d\t%d\t%t\t%.1f\t%.1f\t%.0f\t%.0f\t%.0f\t%.2f\t%d of %d\t%.0f\t%d of %d\t%.0f\n",
+			socket.Listed,
+			socket.ListBytes, socket.ListApplied, socket.ListApplyMillis, socket.ListPeakMegabytes,
+			socket.AddedMedianMicros, socket.AddedP99Micros,
+			socket.AddedCPUMicros, socket.IdleCPU*100, socket.Steady.Failed, socket.Steady.Requests,
+			socket.AddedBurstP99Micros,
+			socket.Burst.Failed, socket.Burst.Requests, socket.Direct.P99Micros)
 	}
 }
 
@@ -133,9 +147,10 @@
 	if len(r.Capacity) == 0 {
 		return
 	}
-	fmt.Fprintln(out, "\nAt the target, the worst first")
+	fmt.Fprintln(out, "\nAt the target, highest ratio first")
 	fmt.Fprintln(out, "ratio\twhat\tfigure\tbudget\tunit\tbasis")
 	for _, row := range r.Capacity {
-		fmt.Fprintf(out, "%.3g\t%s\t%.4g\t%.4g\t%s\t%s\n", row.Ratio, row.What, row.Figure, row.Budget, row.Unit, row.Basis)
+		fmt.Fprintf(out, "%.3g\t%s\t%.4g\t%.4g\t%s\t%s\n", row.Ratio, row.What,
+			row.Figure, row.Budget, row.Unit, row.Basis)
 	}
 }
--- a/internal/scalelab/resources.go
+++ b/internal/scalelab/resources.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// processorTime is what the process has used of all processors, the garbage collector's work included.
+// processorTime returns the user and system time of the process on all processors, including garbage collection.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -15,8 +15,9 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// heapInUse is the live heap in bytes, after two collections: the first leaves what waits for finalizers and pools.
-func heapInUse() uint64 {
+// liveHeapBytes returns the live heap in bytes after two collections, since the first one keeps objects with
+// finalizers and the contents of pools.
+func liveHeapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -24,8 +25,8 @@
 	return stats.HeapAlloc
 }
 
-// allocations counts the objects that the process has allocated so far.
-func allocations() uint64 {
+// allocatedObjects returns the number of heap objects that the process has allocated so far.
+func allocatedObjects() uint64 {
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return stats.Mallocs
--- a/internal/scalelab/scalelab_test.go
+++ b/internal/scalelab/scalelab_test.go
@@ -11,30 +11,30 @@
 	"time"
 )
 
-func TestFit(t *testing.T) {
-	var line, power []Point
+func TestNewFit(t *testing.T) {
+	var linear, power []Point
 	for _, size := range []float64{1, 10, 100, 1000, 10_000} {
-		line = append(line, Point{size, 7 + 3*size})
+		linear = append(linear, Point{size, 7 + 3*size})
 		power = append(power, Point{size, 2 * math.Pow(size, 1.5)})
 	}
-	fit, err := NewFit(line)
+	fit, err := NewFit(linear)
 	if err != nil || math.Abs(fit.Slope-3) > 1e-9 || math.Abs(fit.Intercept-7) > 1e-6 || fit.SlopeError > 1e-6 {
-		t.Errorf("a line is fitted by %+v, %v", fit, err)
+		t.Errorf("fit of a line: %+v, error %v", fit, err)
 	}
 	if fit, err = NewFit(power); err != nil || !fit.HasExponent || math.Abs(fit.Exponent-1.5) > 1e-9 {
-		t.Errorf("a power law is fitted by %+v, %v", fit, err)
+		t.Errorf("fit of a power law: %+v, error %v", fit, err)
 	}
-	line[4].Value += 3000
-	if fit, err = NewFit(line); err != nil || fit.SlopeError == 0 || fit.RSquared == 1 {
-		t.Errorf("a line with an outlier is fitted without an error: %+v, %v", fit, err)
+	linear[4].Value += 3000
+	if fit, err = NewFit(linear); err != nil || fit.SlopeError == 0 || fit.RSquared == 1 {
+		t.Errorf("fit of a line with an outlier: %+v, error %v; want a slope error above 0 and R² below 1", fit, err)
 	}
-	if _, err = NewFit(append(line[:4], line[0])); err != errFewPoints {
-		t.Errorf("four sizes are fitted: %v", err)
+	if _, err = NewFit(append(linear[:4], linear[0])); err != errTooFewSizes {
+		t.Errorf("fit of four sizes: error %v, want errTooFewSizes", err)
 	}
 }
 
-// What can't be played is refused before anything is, and the error names it.
-func TestOptionsThatCannotBePlayed(t *testing.T) {
+// Invalid options are rejected before an experiment starts, and the error names the invalid value.
+func TestInvalidOptionsAreRejected(t *testing.T) {
 	for want, change := range map[string]func(*Options){
 		`"warp"`:           func(o *Options) { o.Experiments = []string{"slopes", "warp"} },
 		"no experiment":    func(o *Options) { o.Experiments = nil },
@@ -50,21 +50,22 @@
 		change(&options)
 		report, err := Run(t.Context(), options, Progress{})
 		if report != nil || err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: report %v, error %v", want, report, err)
+			t.Errorf("want an error with %s and no report: report %v, error %v", want, report, err)
 		}
 	}
-	if _, err := PlayQuota(t.Context(), 10, 11, 20, false, 1); err == nil || !strings.Contains(err.Error(), "11 of 10") {
-		t.Errorf("a customer of 11 of 10 gateways: %v", err)
+	if _, err := RunQuota(t.Context(), 10, 11, 20, false, 1); err == nil || !strings.Contains(err.Error(), "11 of 10") {
+		t.Errorf("customer that uses 11 of 10 gateways: error %v", err)
 	}
-	if _, err := PlayQuota(t.Context(), 10, 2, math.NaN(), false, 1); err == nil {
-		t.Error("a quota that is no number is played")
+	if _, err := RunQuota(t.Context(), 10, 2, math.NaN(), false, 1); err == nil {
+		t.Error("a quota of NaN was accepted")
 	}
 }
 
-// A run that is cut short gives what it has, and says so in the error, the report and the table.
-func TestRunCutShort(t *testing.T) {
-	ctx, cut := context.WithCancel(t.Context())
-	cut()
+// A run whose context ends returns the results so far, and marks them as cut short in the error, the report and the
+// table.
+func TestCanceledRunIsReportedAsCutShort(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
 	options := DefaultOptions()
 	options.Experiments = []string{"slopes", "quota"}
 	report, err := Run(ctx, options, Progress{})
@@ -73,35 +74,36 @@
 	}
 	var table bytes.Buffer
 	if err := report.WriteTable(&table); err != nil || !strings.HasPrefix(table.String(), "CUT SHORT: slopes") {
-		t.Errorf("the table says %.60q, %v", table.String(), err)
+		t.Errorf("table %.60q, error %v", table.String(), err)
 	}
 }
 
-// The same seed plays the same, whatever the machine does meanwhile.
-func TestSameSeedPlaysTheSame(t *testing.T) {
+// Simulations with the same seed give the same results, whatever the load of the machine.
+func TestSameSeedGivesSameResults(t *testing.T) {
 	var results [2]QuotaResult
 	for i := range results {
-		result, err := PlayQuota(t.Context(), 60, 30, 40, true, 5)
+		result, err := RunQuota(t.Context(), 60, 30, 40, true, 5)
 		if err != nil {
 			t.Fatal(err)
 		}
 		result.ProcessorTime, result.MemoryMegabytes = "", 0
 		results[i] = result
 	}
-	if results[0] != results[1] || results[0].Sent == 0 {
-		t.Errorf("%+v and %+v", results[0], results[1])
+	if results[0] != results[1] || results[0].HeavySentRatio == 0 {
+		t.Errorf("results differ or are empty: %+v and %+v", results[0], results[1])
 	}
 }
 
-// The allocations of requests, ticks and list changes do not grow with the number of backends, and the memory that a
-// list takes grows no faster than it. They are counted, so that the verdict is the same on every machine.
-func TestGrowthWithBackends(t *testing.T) {
+// The allocations of a request and a list change must not grow with the number of backends, and the memory allocated
+// for a list must not grow faster than its length. Allocations are counted, not timed, so that the result is the same
+// on every machine.
+func TestAllocationsDoNotGrowWithBackends(t *testing.T) {
 	const small, large = 500, 5000
-	type counted struct{ listBytes, requestObjects float64 }
-	count := func(backends int) counted {
+	type allocations struct{ listBytes, requestObjects float64 }
+	measure := func(backends int) allocations {
 		size := Size{Backends: backends, Customers: 100, Classes: 3, Gateways: 300}
-		host := &single{now: start, spread: 300, lastSent: make(map[BackendID]time.Duration, backends)}
-		hollow, err := NewHollowGateway(0, newSettings(size), 1, start, host)
+		host := &singleHost{now: simulationStart, spread: 300, lastSentAt: make(map[BackendID]time.Duration, backends)}
+		hollow, err := NewHollowGateway(0, newSettings(size), 1, simulationStart, host)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -109,60 +111,67 @@
 		list := newBackends(backends)
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		hollow.TakeList(start, list)
+		hollow.ApplyList(simulationStart, list)
 		runtime.ReadMemStats(&after)
 		requests := testing.AllocsPerRun(200, func() {
-			host.finish(host.now + requestEvery)
-			host.request(1, 0)
-			hollow.TakeChanges(host.now, list[:1])
+			host.advanceTo(host.now + requestInterval)
+			host.submitRequest(1, 0)
+			hollow.ApplyChanges(host.now, list[:1])
 		})
-		return counted{float64(after.TotalAlloc - before.TotalAlloc), requests}
+		return allocations{float64(after.TotalAlloc - before.TotalAlloc), requests}
 	}
-	few, many := count(small), count(large)
+	few, many := measure(small), measure(large)
 	if ratio := many.listBytes / few.listBytes; ratio > 1.5*large/small {
 		t.Errorf("a list of %d backends allocates %.1f times the bytes of one of %d", large, ratio, small)
 	}
 	if many.requestObjects > few.requestObjects+2 {
-		t.Errorf("a request allocates %v objects at %d backends, %v at %d", many.requestObjects, large, few.requestObjects, small)
+		t.Errorf("a request allocates %v objects with %d backends, %v with %d", many.requestObjects, large,
+			few.requestObjects, small)
 	}
 }
 
-// A short day: every change reaches every gateway, and the lost zone and the cut-off region come back.
+// In a day with few backends, every published change reaches every gateway, also after the failure of a zone and while
+// a region is cut off. Only changes of the cut-off region may be late.
 func TestChurnReachesAllGateways(t *testing.T) {
-	result, err := PlayChurn(t.Context(), 6, 2*TargetZones, 1, Progress{})
+	result, err := RunChurn(t.Context(), 6, 2*TargetZones, 1, Progress{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, phase := range result.Phases {
-		if told := int(phase.inForce.TotalCount()); told != 6*phase.Published || told == 0 {
-			t.Errorf("%s: %d entries published to 6 gateways, %d told", phase.Name, phase.Published, told)
+		if delivered := int(phase.delays.TotalCount()); delivered != 6*phase.PublishedEntries || delivered == 0 {
+			t.Errorf("%s: %d entries published to 6 gateways, %d delivered", phase.Name,
+				phase.PublishedEntries, delivered)
 		}
-		if cut := phase.Name == "changes while a region is cut off"; !cut && phase.MedianMillis > mostDelay.Seconds()*1000 {
-			t.Errorf("%s: median %v ms", phase.Name, phase.MedianMillis)
+		if cutOff := phase.Name == "changes while a region is cut off"; !cutOff &&
+			phase.MedianDelayMillis > maxPropagationDelay.Seconds()*1000 {
+			t.Errorf("%s: median delay %v ms", phase.Name, phase.MedianDelayMillis)
 		}
 	}
-	if result.RegionGateways != 2 {
-		t.Errorf("%d gateways were cut off", result.RegionGateways)
+	if result.CutOffGateways != 2 {
+		t.Errorf("%d gateways were cut off, want 2", result.CutOffGateways)
 	}
 }
 
-// A small fleet spares cold backends by the rule that the real days judge.
-func TestSumsOfASmallFleet(t *testing.T) {
-	result, err := PlaySums(t.Context(), 60, 40, 1, Progress{})
-	if err != nil || result.ColdWorst > 1 || result.ColdWorst == 0 || result.RestartedGateways == 0 || result.Requests < 5000 {
-		t.Errorf("%+v, %v", result, err)
+// After backends are replaced and most gateways restart, a small fleet sends no cold backend more than its overload
+// limit.
+func TestFleetProtectsColdBackends(t *testing.T) {
+	result, err := RunSums(t.Context(), 60, 40, 1, Progress{})
+	if err != nil || result.MaxColdLoad > 1 || result.MaxColdLoad == 0 || result.RestartedGateways == 0 ||
+		result.Requests < 5000 {
+		t.Errorf("result %+v, error %v", result, err)
 	}
 }
 
-// Real gateways on real sockets take a list and a change, also where all watches break at that moment.
-func TestRealSockets(t *testing.T) {
-	results, err := PlayWatches(t.Context(), 10, Progress{})
+// Real gateways on real sockets receive a change, also if all watches break at that moment. A real gateway applies a
+// whole list and serves requests with it.
+func TestRealGatewayAppliesListAndChanges(t *testing.T) {
+	results, err := RunWatches(t.Context(), 10, Progress{})
 	if err != nil || len(results) != 2 {
 		t.Fatal(results, err)
 	}
 	for _, result := range results {
-		if result.Known != 10 {
-			t.Errorf("%+v", result)
+		if result.NotifiedGateways != 10 {
+			t.Errorf("want 10 notified gateways: %+v", result)
 		}
 	}
 	size := Size{Backends: 300, Customers: 10, Classes: 3, Gateways: 1}
@@ -171,31 +180,31 @@
 		t.Fatal(err)
 	}
 	defer servers.Stop()
-	agent, _, err := startListing(size.Backends, servers.Addresses)
+	agent, _, err := startListingAgent(size.Backends, servers.Addresses)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer agent.Stop()
 	var result SocketResult
-	gateway, err := result.takeList(size, agent)
-	if err != nil || !result.ListTaken {
+	gateway, err := result.measureListApply(size, agent)
+	if err != nil || !result.ListApplied {
 		t.Fatal(result, err)
 	}
 	client := newLoadClient(gateway.address)
-	client.steady(t.Context(), 50, 200*time.Millisecond)
-	if taken := client.take(); taken.Requests != 10 || taken.Failed > 0 {
-		t.Errorf("%+v", taken)
+	client.sendSteadily(t.Context(), 50, 200*time.Millisecond)
+	if latencies := client.takeResults(); latencies.Requests != 10 || latencies.Failed > 0 {
+		t.Errorf("want 10 requests without a failure: %+v", latencies)
 	}
-	if err := gateway.end(); err != nil {
+	if err := gateway.shutDown(); err != nil {
 		t.Error(err)
 	}
 }
 
-// BenchmarkSlopes measures the points of the slopes; -bench 'Slopes/backends' those of one dimension.
+// BenchmarkSlopes measures the points of all slopes. Use -bench 'Slopes/backends' for one dimension.
 func BenchmarkSlopes(b *testing.B) {
 	for _, dimension := range Dimensions() {
 		for _, value := range dimension.Values {
-			size, err := dimension.at(value)
+			size, err := dimension.sizeAt(value)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -204,7 +213,7 @@
 	}
 }
 
-// benchmarkSize reports every figure of a size as a metric of its own.
+// benchmarkSize reports every figure of a size as a separate metric.
 func benchmarkSize(b *testing.B, size Size) {
 	sums := make([]float64, len(Figures))
 	for b.Loop() {
@@ -213,7 +222,7 @@
 			b.Fatal(err)
 		}
 		for i, figure := range Figures {
-			sums[i] += figure.of(cost)
+			sums[i] += figure.value(cost)
 		}
 	}
 	for i, figure := range Figures {
--- a/internal/scalelab/servers.go
+++ b/internal/scalelab/servers.go
@@ -6,13 +6,13 @@
 	"net/http"
 )
 
-// Servers are stand-ins for backends on real sockets of the loopback interface. They answer at once.
+// Servers are stand-in backends on loopback sockets. They answer every request immediately.
 type Servers struct {
 	Addresses []string
 	servers   []*http.Server
 }
 
-// StartServers starts so many.
+// StartServers starts count servers on free ports.
 func StartServers(count int) (*Servers, error) {
 	servers := &Servers{}
 	for range count {
@@ -21,7 +21,7 @@
 			servers.Stop()
 			return nil, err
 		}
-		server := &http.Server{Handler: http.HandlerFunc(answerAtOnce)}
+		server := &http.Server{Handler: http.HandlerFunc(answerOK)}
 		servers.Addresses = append(servers.Addresses, listener.Addr().String())
 		servers.servers = append(servers.servers, server)
 		go server.Serve(listener)
@@ -29,12 +29,13 @@
 	return servers, nil
 }
 
-func answerAtOnce(w http.ResponseWriter, _ *http.Request) {
+// answerOK answers 200 with a fixed meter reading.
+func answerOK(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("X-RateLimit-Used", "10")
 	_, _ = io.WriteString(w, "ok")
 }
 
-// Stop ends all of them.
+// Stop closes all servers.
 func (s *Servers) Stop() {
 	for _, server := range s.servers {
 		server.Close()
--- a/internal/scalelab/single.go
+++ b/internal/scalelab/single.go
@@ -5,183 +5,189 @@
 	"time"
 )
 
-// Cost is what one gateway of a size spends.
+// Cost holds the measured costs of one gateway at a size. Times are processor time in microseconds.
 type Cost struct {
-	Size             Size    `json:"size"`
-	Seed             uint64  `json:"seed"`
-	StateBytes       float64 `json:"state_bytes"`       // live heap, with the list and all customers
-	FullListMicros   float64 `json:"full_list_us"`      // processor time of the first whole list
-	RequestMicros    float64 `json:"request_us"`        // ... of a request with its outcome
-	RequestObjects   float64 `json:"request_objects"`   // heap objects allocated by it
-	ChangeMicros     float64 `json:"change_us"`         // ... of a list change of one entry
-	TickMicros       float64 `json:"tick_us"`           // ... of the second's tick
-	FullListBytes    float64 `json:"full_list_bytes"`   // on the wire
-	ChangeBytes      float64 `json:"change_bytes"`      // on the wire
-	SettingsBytes    float64 `json:"settings_bytes"`    // of classes and plans in the configuration file
-	BackendsInUse    float64 `json:"backends_in_use"`   // different ones sent to within keepsConnection
-	RejectedRequests int     `json:"rejected_requests"` // of those measured
-	MeasuredRequests int     `json:"measured_requests"` // with their outcomes
-	MeasuredSeconds  int     `json:"measured_seconds"`  // ticks
-	MeasuredChanges  int     `json:"measured_changes"`  // of the list, one entry each
-	MeetCustomerUs   float64 `json:"meet_customer_us"`  // ... of a request of a customer not met before
-
-	ColdRequestMicros   float64 `json:"cold_request_us"`   // ... of a request while coldShare of the backends are cold
-	SettingsMicros      float64 `json:"settings_us"`       // ... of the program's read of its configuration file
-	ProgramListMicros   float64 `json:"program_list_us"`   // ... of the whole list, in the whole program
-	ProgramChangeMicros float64 `json:"program_change_us"` // ... of a list change, in the whole program
-	ProgramStateBytes   float64 `json:"program_state"`     // live heap with the list, of the whole program
+	Size               Size    `json:"size"`
+	Seed               uint64  `json:"seed"`
+	StateBytes         float64 `json:"state_bytes"`       // live heap with the list and all customers
+	FullListMicros     float64 `json:"full_list_us"`      // applying the first whole list
+	RequestMicros      float64 `json:"request_us"`        // one request and its outcome
+	RequestObjects     float64 `json:"request_objects"`   // heap objects allocated per request and outcome
+	ChangeMicros       float64 `json:"change_us"`         // applying a list change of one entry
+	TickMicros         float64 `json:"tick_us"`           // the tick once per second
+	FullListBytes      float64 `json:"full_list_bytes"`   // length of the whole list on the wire
+	ChangeBytes        float64 `json:"change_bytes"`      // length of a change of one entry on the wire
+	SettingsBytes      float64 `json:"settings_bytes"`    // length of the classes and plans in the configuration file
+	BackendsInUse      float64 `json:"backends_in_use"`   // distinct backends sent to within idleConnectionTimeout
+	RejectedRequests   int     `json:"rejected_requests"` // of MeasuredRequests
+	MeasuredRequests   int     `json:"measured_requests"` // behind RequestMicros and RequestObjects
+	MeasuredSeconds    int     `json:"measured_seconds"`  // simulated; one tick each
+	MeasuredChanges    int     `json:"measured_changes"`  // list changes of one entry
+	FirstRequestMicros float64 `json:"meet_customer_us"`  // the first request of a customer, with its outcome
+
+	ColdRequestMicros   float64 `json:"cold_request_us"`   // one request while coldShare of the backends are cold
+	SettingsMicros      float64 `json:"settings_us"`       // loading the configuration file
+	ProgramListMicros   float64 `json:"program_list_us"`   // applying the whole list in the whole program
+	ProgramChangeMicros float64 `json:"program_change_us"` // applying a list change of one entry in the whole program
+	ProgramStateBytes   float64 `json:"program_state"`     // live heap of the whole program with the list
 }
 
 const (
-	answerTime      = 90 * time.Millisecond // of every attempt here
-	measuredSeconds = 10                    // of simulated time at the target's rate
-	measuredChanges = 2000                  // of the list
-	keepsConnection = 9 * time.Second       // how long the real gateway keeps an idle connection to a backend
-	meetWithin      = 40 * time.Second      // all customers are met in, before the first is forgotten
-	usualUse        = 10.0                  // percent of its rate that each customer uses
-	coldShare       = 0.01                  // of the backends are cold at once, one at least
-	coldSeconds     = 2                     // that requests are measured meanwhile
-	start           = 1000 * time.Second    // of the simulated clock
-	requestEvery    = time.Second / TargetRequestRate
+	attemptTime           = 90 * time.Millisecond // duration of every attempt
+	measuredSeconds       = 10                    // simulated seconds of requests at the target's rate
+	measuredChanges       = 2000                  // list changes of one entry
+	idleConnectionTimeout = 9 * time.Second       // of the real gateway: 0.6 of the setting conn_idle_us
+	firstRequestsWithin   = 40 * time.Second      // for all first requests; the gateway forgets idle customers later
+	reportedUse           = 10.0                  // meter reading of each customer, percent of its rate
+	coldShare             = 0.01                  // share of the backends that are cold at once; at least one is
+	coldSeconds           = 2                     // simulated seconds of requests while backends are cold
+	simulationStart       = 1000 * time.Second    // initial time of the simulated clock
+	requestInterval       = time.Second / TargetRequestRate
 )
 
-// single hosts one hollow gateway whose attempts all end after answerTime.
-type single struct {
-	now      time.Duration
-	gateway  *HollowGateway
-	out      []Attempt
-	outSince []time.Duration
-	rejected int
-	sent     int
-	lastSent map[BackendID]time.Duration
-	next     RequestID
-	spread   int // gateways that each customer uses
+// singleHost hosts one hollow gateway. Every attempt is answered after attemptTime.
+type singleHost struct {
+	now          time.Duration
+	gateway      *HollowGateway
+	inFlight     []Attempt
+	sentAt       []time.Duration // of the attempts in flight
+	rejected     int             // requests
+	sentAttempts int
+	lastSentAt   map[BackendID]time.Duration
+	lastID       RequestID
+	spread       int // number of gateways that each customer uses
 }
 
-func (s *single) Send(_ *HollowGateway, attempt Attempt) {
-	s.out = append(s.out, attempt)
-	s.outSince = append(s.outSince, s.now)
-	s.sent++
-	s.lastSent[attempt.Backend] = s.now
+func (s *singleHost) Send(_ *HollowGateway, attempt Attempt) {
+	s.inFlight = append(s.inFlight, attempt)
+	s.sentAt = append(s.sentAt, s.now)
+	s.sentAttempts++
+	s.lastSentAt[attempt.Backend] = s.now
 }
 
-func (s *single) Reject(*HollowGateway, Request) { s.rejected++ }
+func (s *singleHost) Reject(*HollowGateway, Request) { s.rejected++ }
 
-// SetTimer does nothing: ticks come by hand, and no request here waits until its client leaves.
-func (s *single) SetTimer(*HollowGateway, time.Duration, uint64) {}
+// SetTimer does nothing: the measurements trigger the ticks themselves, and no request waits until its client times
+// out.
+func (s *singleHost) SetTimer(*HollowGateway, time.Duration, uint64) {}
 
-func (s *single) request(customer, class int) {
-	s.next++
-	s.gateway.Ask(s.now, Request{ID: s.next, Customer: CustomerID(customer), Class: className(class), Plan: widePlan,
-		Units: 1, Patience: deadline, FirstGateway: 0, Spread: s.spread})
+// submitRequest sends a request of the customer and class to the gateway.
+func (s *singleHost) submitRequest(customer, class int) {
+	s.lastID++
+	s.gateway.HandleRequest(s.now, Request{ID: s.lastID, Customer: CustomerID(customer), Class: className(class),
+		Plan:  amplePlan,
+		Units: 1, Patience: requestDeadline, FirstGateway: 0, Spread: s.spread})
 }
 
-// finish ends the attempts that are due.
-func (s *single) finish(until time.Duration) {
-	for len(s.out) > 0 && s.outSince[0]+answerTime <= until {
-		s.now = max(s.now, s.outSince[0]+answerTime)
-		attempt := s.out[0]
-		s.out, s.outSince = s.out[1:], s.outSince[1:]
-		s.gateway.Finish(s.now, attempt, answerTime, usualUse)
+// advanceTo answers the attempts that are due until end and sets the clock to end.
+func (s *singleHost) advanceTo(end time.Duration) {
+	for len(s.inFlight) > 0 && s.sentAt[0]+attemptTime <= end {
+		s.now = max(s.now, s.sentAt[0]+attemptTime)
+		attempt := s.inFlight[0]
+		s.inFlight, s.sentAt = s.inFlight[1:], s.sentAt[1:]
+		s.gateway.HandleAnswer(s.now, attempt, attemptTime, reportedUse)
 	}
-	s.now = max(s.now, until)
+	s.now = max(s.now, end)
 }
 
-// MeasureGateway measures one gateway of a size.
+// MeasureGateway measures the costs of one gateway at a size.
 func MeasureGateway(size Size, seed uint64) (Cost, error) {
 	if err := size.Validate(); err != nil {
 		return Cost{}, err
 	}
 	random := rand.New(rand.NewPCG(seed, 1))
 	backends, settings := newBackends(size.Backends), newSettings(size)
-	host := &single{now: start, spread: size.Gateways, lastSent: make(map[BackendID]time.Duration, size.Backends)}
-	before := heapInUse()
-	hollow, err := NewHollowGateway(0, settings, seed, start, host)
+	host := &singleHost{now: simulationStart, spread: size.Gateways,
+		lastSentAt: make(map[BackendID]time.Duration, size.Backends)}
+	before := liveHeapBytes()
+	hollow, err := NewHollowGateway(0, settings, seed, simulationStart, host)
 	if err != nil {
 		return Cost{}, err
 	}
 	host.gateway = hollow
 	cost := Cost{Size: size, Seed: seed}
-	cost.FullListMicros = micros(func() { hollow.TakeList(start, backends) }, 1)
-	cost.MeetCustomerUs = host.meetCustomers(size, random)
-	cost.StateBytes = float64(heapInUse()) - float64(before)
+	cost.FullListMicros = processorMicros(func() { hollow.ApplyList(simulationStart, backends) }, 1)
+	cost.FirstRequestMicros = host.sendFirstRequests(size, random)
+	cost.StateBytes = float64(liveHeapBytes()) - float64(before)
 	host.measureTraffic(&cost, random)
 	host.measureChanges(&cost, backends, random)
-	host.measureCold(&cost, backends, random)
-	cost.measureWire(backends, settings)
+	host.measureColdBackends(&cost, backends, random)
+	cost.measureEncodedSizes(backends, settings)
 	return cost, cost.measureProgram(backends, settings, random)
 }
 
-// micros is the processor time of one of count alike pieces of work, in microseconds.
-func micros(work func(), count int) float64 {
-	from := processorTime()
+// processorMicros runs work and returns its processor time in microseconds, divided by the number of equal operations
+// that it consists of.
+func processorMicros(work func(), count int) float64 {
+	before := processorTime()
 	work()
-	return float64(processorTime()-from) / float64(time.Microsecond) / float64(max(1, count))
+	return float64(processorTime()-before) / float64(time.Microsecond) / float64(max(1, count))
 }
 
-// meetCustomers brings one request of each customer, with its outcome.
-func (s *single) meetCustomers(size Size, random *rand.Rand) float64 {
-	every := min(requestEvery, meetWithin/time.Duration(size.Customers))
-	return micros(func() {
+// sendFirstRequests sends one request of each customer, with its outcome, and returns the processor time of one in
+// microseconds.
+func (s *singleHost) sendFirstRequests(size Size, random *rand.Rand) float64 {
+	interval := min(requestInterval, firstRequestsWithin/time.Duration(size.Customers))
+	return processorMicros(func() {
 		for customer := range size.Customers {
-			s.finish(s.now + every)
-			s.request(customer, random.IntN(size.Classes))
+			s.advanceTo(s.now + interval)
+			s.submitRequest(customer, random.IntN(size.Classes))
 		}
-		s.finish(s.now + answerTime)
+		s.advanceTo(s.now + attemptTime)
 	}, size.Customers)
 }
 
-// measureTraffic plays seconds at the target's rate, and measures requests and ticks apart.
-func (s *single) measureTraffic(cost *Cost, random *rand.Rand) {
+// measureTraffic simulates measuredSeconds of requests at the target's rate and measures requests and ticks separately.
+func (s *singleHost) measureTraffic(cost *Cost, random *rand.Rand) {
 	size := cost.Size
 	requests, ticks, objects := 0.0, 0.0, uint64(0)
 	s.rejected = 0
 	for range measuredSeconds {
-		allocated := allocations()
-		requests += micros(func() {
+		allocated := allocatedObjects()
+		requests += processorMicros(func() {
 			for range TargetRequestRate {
-				s.finish(s.now + requestEvery)
-				s.request(random.IntN(size.Customers), random.IntN(size.Classes))
+				s.advanceTo(s.now + requestInterval)
+				s.submitRequest(random.IntN(size.Customers), random.IntN(size.Classes))
 			}
 		}, TargetRequestRate)
-		objects += allocations() - allocated
-		ticks += micros(func() { s.gateway.Fire(s.now, 0) }, 1)
+		objects += allocatedObjects() - allocated
+		ticks += processorMicros(func() { s.gateway.HandleTimer(s.now, 0) }, 1)
 	}
 	cost.RequestMicros, cost.TickMicros = requests/measuredSeconds, ticks/measuredSeconds
 	cost.MeasuredRequests, cost.MeasuredSeconds = measuredSeconds*TargetRequestRate, measuredSeconds
 	cost.RequestObjects = float64(objects) / float64(cost.MeasuredRequests)
 	cost.RejectedRequests = s.rejected
-	for _, at := range s.lastSent {
-		if s.now-at <= keepsConnection {
+	for _, sentAt := range s.lastSentAt {
+		if s.now-sentAt <= idleConnectionTimeout {
 			cost.BackendsInUse++
 		}
 	}
 }
 
-// measureChanges lets backends drain and come back, one entry a change.
-func (s *single) measureChanges(cost *Cost, backends []BackendInfo, random *rand.Rand) {
+// measureChanges measures list changes of one entry: backends that start to drain and become ready again.
+func (s *singleHost) measureChanges(cost *Cost, backends []BackendInfo, random *rand.Rand) {
 	cost.MeasuredChanges = measuredChanges
-	cost.ChangeMicros = micros(func() {
+	cost.ChangeMicros = processorMicros(func() {
 		for range measuredChanges / 2 {
 			backend := backends[random.IntN(len(backends))]
-			s.gateway.TakeChanges(s.now, []BackendInfo{draining(backend)})
-			s.gateway.TakeChanges(s.now, []BackendInfo{ready(backend, 0)})
+			s.gateway.ApplyChanges(s.now, []BackendInfo{asDraining(backend)})
+			s.gateway.ApplyChanges(s.now, []BackendInfo{asReady(backend, 0)})
 		}
 	}, measuredChanges)
 }
 
-// measureCold plays requests while some of the backends have just started.
-func (s *single) measureCold(cost *Cost, backends []BackendInfo, random *rand.Rand) {
+// measureColdBackends measures requests while coldShare of the backends have just started.
+func (s *singleHost) measureColdBackends(cost *Cost, backends []BackendInfo, random *rand.Rand) {
 	size := cost.Size
 	cold := make([]BackendInfo, max(1, int(coldShare*float64(len(backends)))))
 	for i := range cold {
-		cold[i] = ready(backends[i*len(backends)/len(cold)], s.now)
+		cold[i] = asReady(backends[i*len(backends)/len(cold)], s.now)
 	}
-	s.gateway.TakeChanges(s.now, cold)
-	cost.ColdRequestMicros = micros(func() {
+	s.gateway.ApplyChanges(s.now, cold)
+	cost.ColdRequestMicros = processorMicros(func() {
 		for range coldSeconds * TargetRequestRate {
-			s.finish(s.now + requestEvery)
-			s.request(random.IntN(size.Customers), random.IntN(size.Classes))
+			s.advanceTo(s.now + requestInterval)
+			s.submitRequest(random.IntN(size.Customers), random.IntN(size.Classes))
 		}
 	}, coldSeconds*TargetRequestRate)
 }
--- a/internal/scalelab/slopes.go
+++ b/internal/scalelab/slopes.go
@@ -6,16 +6,16 @@
 	"math"
 )
 
-// A slope is measured along one dimension of the size while the others stay at the base.
+// slopeBase is the base size. A slope is measured along one dimension while the others stay at the base.
 var slopeBase = Size{Backends: 1000, Customers: 1000, Classes: 3, Gateways: 300}
 
-// Dimension is one of the four dimensions of a size and the values that it is measured at.
+// Dimension is one of the four dimensions of a size, with the values at which it is measured.
 type Dimension struct {
 	Name   string `json:"name"`
 	Values []int  `json:"values"`
 }
 
-// Dimensions are those of a full run: each reaches the target.
+// Dimensions returns the dimensions of a full run. The values of each reach the target.
 func Dimensions() []Dimension {
 	return []Dimension{
 		{Name: "backends", Values: []int{40, 200, 1000, 5000, 20_000, TargetBackends}},
@@ -25,8 +25,8 @@
 	}
 }
 
-// at is the base with the dimension's value.
-func (d Dimension) at(value int) (Size, error) {
+// sizeAt returns the base size with the given value of the dimension.
+func (d Dimension) sizeAt(value int) (Size, error) {
 	size := slopeBase
 	switch d.Name {
 	case "backends":
@@ -38,26 +38,26 @@
 	case "gateways":
 		size.Gateways = value
 	default:
-		return size, fmt.Errorf("no dimension %q: it is backends, customers, classes or gateways", d.Name)
+		return size, fmt.Errorf("unknown dimension %q: must be backends, customers, classes or gateways", d.Name)
 	}
 	return size, size.Validate()
 }
 
-// Figure is one figure of a Cost.
+// Figure is one measured quantity of a Cost.
 type Figure struct {
-	Name string
-	Unit string
-	of   func(Cost) float64
+	Name  string
+	Unit  string
+	value func(Cost) float64
 }
 
-// Figures are those that slopes are fitted to.
+// Figures are the quantities to which slopes are fitted.
 var Figures = []Figure{
 	{"state", "bytes", func(c Cost) float64 { return c.StateBytes }},
 	{"whole list", "us", func(c Cost) float64 { return c.FullListMicros }},
 	{"request and outcome", "us", func(c Cost) float64 { return c.RequestMicros }},
 	{"request and outcome", "objects", func(c Cost) float64 { return c.RequestObjects }},
 	{"request while 1 in 100 backends is cold", "us", func(c Cost) float64 { return c.ColdRequestMicros }},
-	{"first request of a customer", "us", func(c Cost) float64 { return c.MeetCustomerUs }},
+	{"first request of a customer", "us", func(c Cost) float64 { return c.FirstRequestMicros }},
 	{"list change", "us", func(c Cost) float64 { return c.ChangeMicros }},
 	{"tick", "us", func(c Cost) float64 { return c.TickMicros }},
 	{"whole list", "bytes", func(c Cost) float64 { return c.FullListBytes }},
@@ -70,7 +70,7 @@
 	{"backends in use", "connections", func(c Cost) float64 { return c.BackendsInUse }},
 }
 
-// Slope is one figure against one dimension.
+// Slope is the growth of one figure along one dimension.
 type Slope struct {
 	Dimension string  `json:"dimension"`
 	Figure    string  `json:"figure"`
@@ -79,16 +79,16 @@
 	Fit       Fit     `json:"fit"`    // through all repeats
 }
 
-// varies tells whether the size changes the figure at all.
+// varies reports whether the figure changes by more than 1 percent over the measured sizes.
 func (s Slope) varies() bool {
-	least, most := math.Inf(1), math.Inf(-1)
+	lowest, highest := math.Inf(1), math.Inf(-1)
 	for _, point := range s.Points {
-		least, most = min(least, point.Value), max(most, point.Value)
+		lowest, highest = min(lowest, point.Value), max(highest, point.Value)
 	}
-	return most-least > 0.01*math.Abs(most)
+	return highest-lowest > 0.01*math.Abs(highest)
 }
 
-// SlopeReport holds what one run of slopes measured.
+// SlopeReport holds the results of the slopes experiment.
 type SlopeReport struct {
 	Base    Size    `json:"base"`
 	Repeats int     `json:"repeats"`
@@ -96,13 +96,15 @@
 	Slopes  []Slope `json:"slopes"`
 }
 
-// MeasureSlopes measures each dimension's values as often as repeats says, each time with a seed of its own.
-func MeasureSlopes(ctx context.Context, dimensions []Dimension, repeats int, seed uint64, progress Progress) (*SlopeReport, error) {
+// MeasureSlopes measures a gateway at each value of each dimension. Each of the repeats uses a different seed, derived
+// from the given one. If ctx ends, it returns the dimensions finished so far and the error of ctx.
+func MeasureSlopes(ctx context.Context, dimensions []Dimension, repeats int, seed uint64,
+	progress Progress) (*SlopeReport, error) {
 	report := &SlopeReport{Base: slopeBase, Repeats: repeats}
 	for _, dimension := range dimensions {
 		var costs []Cost
 		for _, value := range dimension.Values {
-			size, err := dimension.at(value)
+			size, err := dimension.sizeAt(value)
 			if err != nil {
 				return report, err
 			}
@@ -128,14 +130,15 @@
 	return report, nil
 }
 
-// fitSlopes fits each figure of a dimension's costs, which are in the order of its values.
+// fitSlopes fits a slope to each figure. The costs are ordered by the dimension's values, with all repeats of a value
+// next to each other.
 func fitSlopes(dimension Dimension, costs []Cost, repeats int) ([]Slope, error) {
 	var slopes []Slope
 	for _, figure := range Figures {
 		slope := Slope{Dimension: dimension.Name, Figure: figure.Name, Unit: figure.Unit}
 		var all []Point
 		for i, cost := range costs {
-			point := Point{Size: float64(dimension.Values[i/repeats]), Value: figure.of(cost)}
+			point := Point{Size: float64(dimension.Values[i/repeats]), Value: figure.value(cost)}
 			all = append(all, point)
 			if i%repeats == 0 {
 				slope.Points = append(slope.Points, Point{Size: point.Size})
--- a/internal/scalelab/sockets.go
+++ b/internal/scalelab/sockets.go
@@ -12,48 +12,48 @@
 	"herontiller/internal/frontdoor"
 )
 
-// SocketResult is what a real gateway on real sockets does with a list of some length.
+// SocketResult holds the measurements of a real gateway on real sockets with a list of Listed backends.
 type SocketResult struct {
-	Listed        int       `json:"listed"`
-	ListBytes     int       `json:"list_bytes"`
-	ListTaken     bool      `json:"list_taken"` // by the real discovery code, within listPatience
-	ListMillis    float64   `json:"list_ms"`    // until then
-	ListMegabytes float64   `json:"list_peak_mb"`
-	KeptMegabytes float64   `json:"list_kept_mb"` // live heap that the list adds
-	Direct        Latencies `json:"direct"`       // without the gateway
-	Steady        Latencies `json:"steady"`
-	DirectBurst   Latencies `json:"direct_burst"`
-	Burst         Latencies `json:"burst"`
-	AddedP99      float64   `json:"added_p99_us"` // of the steady requests
-	AddedMedian   float64   `json:"added_median_us"`
-	AddedBurstP99 float64   `json:"added_burst_p99_us"`
-	IdleCPU       float64   `json:"idle_cpu"`     // share of a core that the gateway uses without requests
-	AddedCPU      float64   `json:"added_cpu_us"` // processor time that it adds to a steady request
+	Listed              int       `json:"listed"`
+	ListBytes           int       `json:"list_bytes"`
+	ListApplied         bool      `json:"list_taken"`   // by the real discovery code, within listTimeout
+	ListApplyMillis     float64   `json:"list_ms"`      // time until the list was applied
+	ListPeakMegabytes   float64   `json:"list_peak_mb"` // highest sampled growth of the heap meanwhile
+	ListLiveMegabytes   float64   `json:"list_kept_mb"` // growth of the live heap by gateway and list
+	Direct              Latencies `json:"direct"`       // straight to a stand-in server
+	Steady              Latencies `json:"steady"`       // through the gateway
+	DirectBurst         Latencies `json:"direct_burst"`
+	Burst               Latencies `json:"burst"`
+	AddedP99Micros      float64   `json:"added_p99_us"` // over the direct requests
+	AddedMedianMicros   float64   `json:"added_median_us"`
+	AddedBurstP99Micros float64   `json:"added_burst_p99_us"`
+	IdleCPU             float64   `json:"idle_cpu"`     // share of a core that the process uses without requests
+	AddedCPUMicros      float64   `json:"added_cpu_us"` // processor time that the gateway adds to a steady request
 }
 
 const (
-	standInServers = 8
-	listPatience   = 10 * time.Second
-	loadRounds     = 5
-	burstTimes     = 5
-	burstPause     = time.Second
-	warmUp         = time.Second
-	idleTime       = 3 * time.Second
-	sampleEvery    = 2 * time.Millisecond // of the heap, while a list is taken
+	standInServers     = 8 // that serve all listed backends
+	listTimeout        = 10 * time.Second
+	loadRounds         = 5 // of steady requests
+	burstCount         = 5
+	burstPause         = time.Second // between bursts
+	warmUpTime         = time.Second
+	idleTime           = 3 * time.Second
+	heapSampleInterval = 2 * time.Millisecond // while a list is applied
 )
 
-// realGateway is the real program's parts in this process.
+// realGateway runs the components of the real program in this process.
 type realGateway struct {
-	address string
-	loop    *frontdoor.Loop
-	taken   chan int // lengths of the whole lists that discovery brought
-	stop    context.CancelFunc
-	ended   chan error
+	address      string
+	loop         *frontdoor.Loop
+	appliedLists chan int // lengths of the whole lists that were applied
+	stop         context.CancelFunc
+	runResult    chan error
 }
 
-// startGateway serves with a list that the real discovery code takes from an agent.
-func startGateway(settings Settings, agent string) (*realGateway, error) {
-	config, err := realConfig(settings, agent)
+// startGateway starts a real gateway whose discovery client follows the agent at discoveryAddress.
+func startGateway(settings Settings, discoveryAddress string) (*realGateway, error) {
+	config, err := loadRealConfig(settings, discoveryAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -66,81 +66,85 @@
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	real := &realGateway{address: listener.Addr().String(), loop: loop, taken: make(chan int, 16), stop: stop,
-		ended: make(chan error, 1)}
+	gateway := &realGateway{address: listener.Addr().String(), loop: loop, appliedLists: make(chan int, 16), stop: stop,
+		runResult: make(chan error, 1)}
 	go frontdoor.Follow(ctx, config, nil, func(list frontdoor.EndpointList) {
 		count := len(list.Hosts)
 		loop.Update(list)
 		if list.Whole {
-			real.taken <- count
+			gateway.appliedLists <- count
 		}
 	})
-	go func() { real.ended <- frontdoor.NewClients(config, loop).Run(ctx, listener) }()
-	return real, nil
+	go func() { gateway.runResult <- frontdoor.NewClients(config, loop).Run(ctx, listener) }()
+	return gateway, nil
 }
 
-func (g *realGateway) end() error {
+// shutDown stops the gateway and returns the error of its server.
+func (g *realGateway) shutDown() error {
 	g.stop()
 	defer g.loop.Close()
-	return <-g.ended
+	return <-g.runResult
 }
 
-// PlaySockets measures a real gateway with so many listed backends, of which a few stand-ins serve all.
-func PlaySockets(ctx context.Context, listed int, length time.Duration, progress Progress) (SocketResult, error) {
+// RunSockets measures a real gateway with a list of the given length. A few stand-in servers serve all listed backends.
+// Requests are measured for the duration, straight to a server and through the gateway.
+func RunSockets(ctx context.Context, listed int, duration time.Duration, progress Progress) (SocketResult, error) {
 	result := SocketResult{Listed: listed}
 	size := Size{Backends: listed, Customers: slopeBase.Customers, Classes: slopeBase.Classes,
-		Gateways: max(1, listed*TargetGateways/TargetBackends)} // as many for a backend as at the target
+		Gateways: max(1, listed*TargetGateways/TargetBackends)} // as many per backend as at the target
 	if err := size.Validate(); err != nil {
 		return result, err
 	}
-	if length < time.Second || length > time.Hour {
-		return result, errors.New("requests are measured for a second to an hour")
+	if duration < time.Second || duration > time.Hour {
+		return result, errors.New("the duration of the requests must be between a second and an hour")
 	}
 	servers, err := StartServers(standInServers)
 	if err != nil {
 		return result, err
 	}
 	defer servers.Stop()
-	agent, hosts, err := startListing(listed, servers.Addresses)
+	agent, hosts, err := startListingAgent(listed, servers.Addresses)
 	if err != nil {
 		return result, err
 	}
 	defer agent.Stop()
-	result.ListBytes = len(agent.whole)
-	progress.Show("sockets: %d listed, requests without the gateway", listed)
+	result.ListBytes = len(agent.fullList)
+	progress.Show("sockets: %d listed, direct requests", listed)
 	var directCPU, steadyCPU float64
-	result.Direct, result.DirectBurst, directCPU = measureLoad(ctx, newLoadClient(servers.Addresses[0]), length)
-	progress.Show("sockets: %d listed, taking the list", listed)
-	gateway, err := result.takeList(size, agent)
+	result.Direct, result.DirectBurst, directCPU = measureLoad(ctx, newLoadClient(servers.Addresses[0]), duration)
+	progress.Show("sockets: %d listed, applying the list", listed)
+	gateway, err := result.measureListApply(size, agent)
 	if err != nil {
 		return result, err
 	}
-	if !result.ListTaken { // to measure the latency all the same
+	if !result.ListApplied { // apply it directly, so that the latency can still be measured
 		gateway.loop.Update(frontdoor.EndpointList{Seq: 1, Whole: true, Hosts: hosts})
 	}
 	runtime.KeepAlive(hosts)
-	result.IdleCPU = idle(ctx)
+	result.IdleCPU = measureIdleShare(ctx)
 	progress.Show("sockets: %d listed, requests through the gateway", listed)
-	result.Steady, result.Burst, steadyCPU = measureLoad(ctx, newLoadClient(gateway.address), length)
-	result.AddedCPU = steadyCPU - directCPU
-	result.AddedMedian = result.Steady.Median - result.Direct.Median
-	result.AddedP99 = result.Steady.P99 - result.Direct.P99
-	result.AddedBurstP99 = result.Burst.P99 - result.DirectBurst.P99
-	return result, errors.Join(ctx.Err(), gateway.end())
+	result.Steady, result.Burst, steadyCPU = measureLoad(ctx, newLoadClient(gateway.address), duration)
+	result.AddedCPUMicros = steadyCPU - directCPU
+	result.AddedMedianMicros = result.Steady.MedianMicros - result.Direct.MedianMicros
+	result.AddedP99Micros = result.Steady.P99Micros - result.Direct.P99Micros
+	result.AddedBurstP99Micros = result.Burst.P99Micros - result.DirectBurst.P99Micros
+	return result, errors.Join(ctx.Err(), gateway.shutDown())
 }
 
-func startListing(listed int, addresses []string) (*Agent, []frontdoor.Endpoint, error) {
+// startListingAgent starts an agent that lists backends at the addresses in turn.
+func startListingAgent(listed int, addresses []string) (*Agent, []frontdoor.Endpoint, error) {
 	hosts := make([]frontdoor.Endpoint, 0, listed)
 	for i, backend := range newBackends(listed) {
-		hosts = append(hosts, endpoint(backend, addresses[i%len(addresses)]))
+		hosts = append(hosts, toEndpoint(backend, addresses[i%len(addresses)]))
 	}
 	agent, err := StartAgent(hosts)
 	return agent, hosts, err
 }
 
-// takeList starts a gateway, and waits until it has the list. The heap is sampled meanwhile: its peak is a lower bound.
-func (r *SocketResult) takeList(size Size, agent *Agent) (*realGateway, error) {
-	before := heapInUse()
+// measureListApply starts a gateway and waits until it has applied the list, for listTimeout at most. Meanwhile it
+// samples the heap, so that the recorded peak is a lower bound.
+func (r *SocketResult) measureListApply(size Size, agent *Agent) (*realGateway, error) {
+	before := liveHeapBytes()
 	var peak atomic.Uint64
 	sampling, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -149,7 +153,7 @@
 			var stats runtime.MemStats
 			runtime.ReadMemStats(&stats)
 			peak.Store(max(peak.Load(), stats.HeapAlloc))
-			time.Sleep(sampleEvery)
+			time.Sleep(heapSampleInterval)
 		}
 	}()
 	begin := time.Now()
@@ -158,62 +162,65 @@
 		return nil, err
 	}
 	select {
-	case <-gateway.taken:
-		r.ListTaken, r.ListMillis = true, time.Since(begin).Seconds()*1000
-	case <-time.After(listPatience):
+	case <-gateway.appliedLists:
+		r.ListApplied, r.ListApplyMillis = true, time.Since(begin).Seconds()*1000
+	case <-time.After(listTimeout):
 	}
 	stop()
-	r.ListMegabytes = max(0, float64(peak.Load())-float64(before)) / (1 << 20)
-	r.KeptMegabytes = (float64(heapInUse()) - float64(before)) / (1 << 20)
+	r.ListPeakMegabytes = max(0, float64(peak.Load())-float64(before)) / (1 << 20)
+	r.ListLiveMegabytes = (float64(liveHeapBytes()) - float64(before)) / (1 << 20)
 	return gateway, nil
 }
 
-// measureLoad plays the target's rate for a time and then bursts of a second's requests, after a short warm-up.
-// The steady requests come in rounds, of which the latencies are medians: what else the machine does for a moment spoils a
-// round and not the measurement. cpu is the process's processor time for one steady request, in microseconds.
-func measureLoad(ctx context.Context, client *loadClient, length time.Duration) (steady, burst Latencies, cpu float64) {
+// measureLoad sends requests at the target's rate for the duration, after a short warm-up, and then bursts of one
+// second's requests. The steady requests are split into rounds and the result is the median over the rounds, so that a
+// short disturbance by other processes affects one round only. cpu is the process's processor time per steady request,
+// in microseconds.
+func measureLoad(ctx context.Context, client *loadClient, duration time.Duration) (
+	steady, burst Latencies, cpu float64) {
 	defer client.transport.CloseIdleConnections()
-	client.steady(ctx, TargetRequestRate, warmUp)
-	client.take()
-	used := processorTime()
+	client.sendSteadily(ctx, TargetRequestRate, warmUpTime)
+	client.takeResults()
+	processorBefore := processorTime()
 	rounds := make([]Latencies, loadRounds)
 	for i := range rounds {
-		client.steady(ctx, TargetRequestRate, length/loadRounds)
-		rounds[i] = client.take()
+		client.sendSteadily(ctx, TargetRequestRate, duration/loadRounds)
+		rounds[i] = client.takeResults()
 	}
-	steady = medians(rounds)
-	cpu = float64((processorTime() - used).Microseconds()) / float64(max(1, steady.Requests))
-	client.bursts(ctx, TargetRequestRate, burstTimes, burstPause)
-	return steady, client.take(), cpu
+	steady = summarizeRounds(rounds)
+	cpu = float64((processorTime() - processorBefore).Microseconds()) / float64(max(1, steady.Requests))
+	client.sendBursts(ctx, TargetRequestRate, burstCount, burstPause)
+	return steady, client.takeResults(), cpu
 }
 
-// medians sums up the counts of rounds and takes the medians of their latencies.
-func medians(rounds []Latencies) Latencies {
-	var all Latencies
-	median := func(of func(Latencies) float64) float64 {
+// summarizeRounds adds up the counts of rounds and takes the medians of their quantiles and the highest of their
+// maxima.
+func summarizeRounds(rounds []Latencies) Latencies {
+	var summary Latencies
+	median := func(value func(Latencies) float64) float64 {
 		values := make([]float64, len(rounds))
 		for i, round := range rounds {
-			values[i] = of(round)
+			values[i] = value(round)
 		}
 		slices.Sort(values)
 		return values[len(values)/2]
 	}
 	for _, round := range rounds {
-		all.Requests += round.Requests
-		all.Failed += round.Failed
-		all.Most = max(all.Most, round.Most)
+		summary.Requests += round.Requests
+		summary.Failed += round.Failed
+		summary.MaxMicros = max(summary.MaxMicros, round.MaxMicros)
 	}
-	all.Median = median(func(l Latencies) float64 { return l.Median })
-	all.P99 = median(func(l Latencies) float64 { return l.P99 })
-	return all
+	summary.MedianMicros = median(func(latencies Latencies) float64 { return latencies.MedianMicros })
+	summary.P99Micros = median(func(latencies Latencies) float64 { return latencies.P99Micros })
+	return summary
 }
 
-// idle is the share of a core that the process uses while nothing is asked of it.
-func idle(ctx context.Context) float64 {
-	used, begin := processorTime(), time.Now()
+// measureIdleShare returns the share of a core that the process uses while it receives no requests.
+func measureIdleShare(ctx context.Context) float64 {
+	processorBefore, begin := processorTime(), time.Now()
 	select {
 	case <-time.After(idleTime):
 	case <-ctx.Done():
 	}
-	return (processorTime() - used).Seconds() / time.Since(begin).Seconds()
+	return (processorTime() - processorBefore).Seconds() / time.Since(begin).Seconds()
 }
--- a/internal/scalelab/sums.go
+++ b/internal/scalelab/sums.go
@@ -6,140 +6,150 @@
 	"time"
 )
 
-// SumsResult is what all gateways of a fleet do together, before and after a part of the backends was replaced.
+// SumsResult holds the totals of a whole fleet in the sums experiment: in a steady phase, and after a share of the
+// backends was replaced by new processes.
 type SumsResult struct {
-	Gateways            int     `json:"gateways"`
-	Backends            int     `json:"backends"`
-	RequestRate         float64 `json:"request_rate"` // of one gateway, a second
-	Requests            int     `json:"requests"`
-	Rejected            int     `json:"rejected"`
-	ListsTaken          int     `json:"lists_taken"`
-	ChangesTaken        int     `json:"changes_taken"`
-	ConnectionsMean     float64 `json:"connections_mean"` // of a backend: gateways that sent to it within keepsConnection
-	ConnectionsMost     int     `json:"connections_most"`
-	BackendsOfGateway   float64 `json:"backends_of_gateway"` // mean of those that one gateway sent to
-	AttemptsMean        float64 `json:"attempts_mean"`       // of a backend, in evenTime
-	LoadMost            float64 `json:"load_most"`           // over the mean
-	LoadLeast           float64 `json:"load_least"`
-	Replaced            int     `json:"replaced"`
-	RestartedGateways   int     `json:"restarted_gateways"`
-	ColdWorst           float64 `json:"cold_worst"` // of what makes a cold backend fall over; 1 is the rule
-	MemoryMegabytes     float64 `json:"memory_mb"`
-	BytesOfGateway      float64 `json:"bytes_of_gateway"`
-	ProcessorTime       string  `json:"processor_time"`
-	CapacityOfBackend   float64 `json:"capacity_of_backend"` // attempts a second, as the rule on cold ones counts
-	SimulatedTime       string  `json:"simulated_time"`
-	MeasuredEvenSeconds float64 `json:"measured_even_seconds"`
+	Gateways           int     `json:"gateways"`
+	Backends           int     `json:"backends"`
+	RequestRate        float64 `json:"request_rate"` // of one gateway, per second
+	Requests           int     `json:"requests"`
+	Rejected           int     `json:"rejected"`
+	ListsTaken         int     `json:"lists_taken"`         // whole lists, over all gateways
+	ChangesTaken       int     `json:"changes_taken"`       // changed entries, over all gateways
+	MeanConnections    float64 `json:"connections_mean"`    // gateways that sent to a backend in the steady phase
+	MaxConnections     int     `json:"connections_most"`    // of any backend
+	BackendsPerGateway float64 `json:"backends_of_gateway"` // mean number that a gateway sent to in the steady phase
+	MeanAttempts       float64 `json:"attempts_mean"`       // of a backend in the steady phase
+	MaxLoad            float64 `json:"load_most"`           // attempts of the busiest backend over the mean
+	MinLoad            float64 `json:"load_least"`          // attempts of the least busy backend over the mean
+	ReplacedBackends   int     `json:"replaced"`
+	RestartedGateways  int     `json:"restarted_gateways"`
+	MaxColdLoad        float64 `json:"cold_worst"` // highest load of a cold backend over its overload limit
+	MemoryMegabytes    float64 `json:"memory_mb"`  // live heap of all gateways at the start
+	BytesPerGateway    float64 `json:"bytes_of_gateway"`
+	ProcessorTime      string  `json:"processor_time"`
+	BackendCapacity    float64 `json:"capacity_of_backend"` // attempts per second of a warm backend
+	SimulatedTime      string  `json:"simulated_time"`
+	SteadySeconds      float64 `json:"measured_even_seconds"` // length of the steady phase
 }
 
 const (
-	sumsRate       = 10.0 // requests a second of each gateway, of the target's 282: what one machine can play
-	sumsWarmUp     = 8 * time.Second
-	sumsCold       = 6 * time.Second
-	replacedShare  = 0.1
-	restartedShare = 0.7
-	backendsBusy   = 0.83
+	sumsRequestRate    = 10.0 // per second and gateway; one machine cannot simulate the target's 282
+	sumsSteadyTime     = 8 * time.Second
+	sumsColdTime       = 6 * time.Second // after the replacement of backends
+	replacedShare      = 0.1             // of the backends
+	restartedShare     = 0.7             // of the gateways, at the same time
+	backendUtilization = 0.83            // mean load of a backend over its capacity
 )
 
-// PlaySums plays a whole fleet at once.
-func PlaySums(ctx context.Context, gateways, backends int, seed uint64, progress Progress) (SumsResult, error) {
-	result := SumsResult{Gateways: gateways, Backends: backends, RequestRate: sumsRate, ListsTaken: gateways,
-		SimulatedTime: (sumsWarmUp + sumsCold).String(), MeasuredEvenSeconds: sumsWarmUp.Seconds()}
+// RunSums simulates a whole fleet: a steady phase of sumsSteadyTime, then the replacement of some backends and the
+// restart of most gateways, followed by sumsColdTime.
+func RunSums(ctx context.Context, gateways, backends int, seed uint64, progress Progress) (SumsResult, error) {
+	result := SumsResult{Gateways: gateways, Backends: backends, RequestRate: sumsRequestRate, ListsTaken: gateways,
+		SimulatedTime: (sumsSteadyTime + sumsColdTime).String(), SteadySeconds: sumsSteadyTime.Seconds()}
 	size := Size{Backends: backends, Customers: slopeBase.Customers, Classes: 1, Gateways: gateways}
 	if err := size.Validate(); err != nil {
 		return result, err
 	}
-	if gateways*backends > mostEntries {
-		return result, fmt.Errorf("%d gateways with %d backends each can't be played: %d entries of lists at most",
-			gateways, backends, mostEntries)
+	if gateways*backends > maxListEntries {
+		return result, fmt.Errorf("%d gateways with %d backends each: the lists may hold %d entries in all",
+			gateways, backends, maxListEntries)
 	}
-	before, used := heapInUse(), processorTime()
+	heapBefore, processorBefore := liveHeapBytes(), processorTime()
 	list := newBackends(backends)
 	progress.Show("sums: starting %d gateways", gateways)
-	fleet, err := NewFleet(newSettings(size), list, meterLate, seed)
+	fleet, err := NewFleet(newSettings(size), list, meterDelay, seed)
 	if err != nil {
 		return result, err
 	}
-	result.MemoryMegabytes = (float64(heapInUse()) - float64(before)) / (1 << 20)
-	result.BytesOfGateway = result.MemoryMegabytes * (1 << 20) / float64(gateways)
-	play := newSumsPlay(fleet, list)
-	result.CapacityOfBackend = sumsRate * float64(gateways) / float64(backends) / backendsBusy
-	stop := func() bool {
-		progress.Show("sums: %.1f s played", (fleet.Clock.Now() - start).Seconds())
+	result.MemoryMegabytes = (float64(liveHeapBytes()) - float64(heapBefore)) / (1 << 20)
+	result.BytesPerGateway = result.MemoryMegabytes * (1 << 20) / float64(gateways)
+	simulation := newSumsSimulation(fleet, list)
+	result.BackendCapacity = sumsRequestRate * float64(gateways) / float64(backends) / backendUtilization
+	canceled := func() bool {
+		progress.Show("sums: %.1f s simulated", (fleet.Clock.Now() - simulationStart).Seconds())
 		return ctx.Err() != nil
 	}
-	end := start + sumsWarmUp + sumsCold
-	fleet.Arrivals(sumsRate*float64(gateways), end, play.ask)
-	fleet.Clock.RunUntil(start+sumsWarmUp, stop)
-	play.countEven(&result)
-	if err := play.replace(&result); err != nil {
+	end := simulationStart + sumsSteadyTime + sumsColdTime
+	fleet.ScheduleArrivals(sumsRequestRate*float64(gateways), end, simulation.submitRequest)
+	fleet.Clock.RunUntil(simulationStart+sumsSteadyTime, canceled)
+	simulation.summarizeSteady(&result)
+	if err := simulation.replaceBackends(&result); err != nil {
 		return result, err
 	}
-	fleet.Clock.RunUntil(end, stop)
-	play.countCold(&result)
-	result.Requests, result.Rejected = play.requests, play.rejected
-	result.ProcessorTime = (processorTime() - used).Round(time.Millisecond).String()
+	fleet.Clock.RunUntil(end, canceled)
+	simulation.computeMaxColdLoad(&result)
+	result.Requests, result.Rejected = simulation.requests, simulation.rejected
+	result.ProcessorTime = (processorTime() - processorBefore).Round(time.Millisecond).String()
 	return result, ctx.Err()
 }
 
-// mostEntries of lists, over all gateways, are what one run holds: about 215 bytes each, 8 GB in all.
-const mostEntries = 20_000_000
+// maxListEntries is the highest number of list entries over all gateways of a run. An entry takes about 215 bytes,
+// which keeps a run under 8 GB.
+const maxListEntries = 20_000_000
 
-type sumsPlay struct {
+// sumsSimulation generates the requests of the sums experiment and records what the gateways send.
+type sumsSimulation struct {
 	fleet              *Fleet
 	list               []BackendInfo
 	requests, rejected int
-	pairs              map[[2]uint32]struct{} // gateway and backend
-	coldSends          [][]time.Duration      // of each replaced backend, by number
-	replacedAt         time.Duration
+	sentPairs          map[[2]uint32]struct{} // gateway and backend, steady phase
+	coldSendTimes      [][]time.Duration      // after the replacement, by backend ID
+	replacedAt         time.Duration          // zero in the steady phase
 }
 
-func newSumsPlay(fleet *Fleet, list []BackendInfo) *sumsPlay {
-	play := &sumsPlay{fleet: fleet, list: list, pairs: map[[2]uint32]struct{}{}, coldSends: make([][]time.Duration, len(list)+1)}
-	fleet.OnSend = func(from *HollowGateway, attempt Attempt) {
-		if play.replacedAt == 0 {
-			play.pairs[[2]uint32{uint32(from.Number), uint32(attempt.Backend)}] = struct{}{}
+// newSumsSimulation registers the callbacks of a simulation with the fleet.
+func newSumsSimulation(fleet *Fleet, list []BackendInfo) *sumsSimulation {
+	simulation := &sumsSimulation{fleet: fleet, list: list, sentPairs: map[[2]uint32]struct{}{},
+		coldSendTimes: make([][]time.Duration, len(list)+1)}
+	fleet.OnSend = func(hollow *HollowGateway, attempt Attempt) {
+		if simulation.replacedAt == 0 {
+			simulation.sentPairs[[2]uint32{uint32(hollow.Number), uint32(attempt.Backend)}] = struct{}{}
 		} else {
-			play.coldSends[attempt.Backend] = append(play.coldSends[attempt.Backend], fleet.Clock.Now())
+			simulation.coldSendTimes[attempt.Backend] = append(
+				simulation.coldSendTimes[attempt.Backend], fleet.Clock.Now())
 		}
 	}
-	fleet.OnReject = func(*HollowGateway, Request) { play.rejected++ }
-	return play
+	fleet.OnReject = func(*HollowGateway, Request) { simulation.rejected++ }
+	return simulation
 }
 
-func (p *sumsPlay) ask() {
-	p.requests++
-	random := p.fleet.Random
-	p.fleet.Ask(random.IntN(len(p.fleet.Gateways)), Request{Customer: CustomerID(random.IntN(slopeBase.Customers)),
-		Class: className(0), Plan: widePlan, Units: 1, Spread: len(p.fleet.Gateways)})
+// submitRequest sends a request of a random customer to a random gateway.
+func (s *sumsSimulation) submitRequest() {
+	s.requests++
+	random := s.fleet.Random
+	s.fleet.SubmitRequest(random.IntN(len(s.fleet.Gateways)), Request{
+		Customer: CustomerID(random.IntN(slopeBase.Customers)),
+		Class:    className(0), Plan: amplePlan, Units: 1, Spread: len(s.fleet.Gateways)})
 }
 
-// countEven sums up the load and the connections of the steady part.
-func (p *sumsPlay) countEven(result *SumsResult) {
-	result.AttemptsMean, result.LoadMost, result.LoadLeast = p.fleet.Backends.Spread()
-	connections := make([]int, len(p.list)+1)
-	for pair := range p.pairs {
+// summarizeSteady computes the load and the connections of the steady phase.
+func (s *sumsSimulation) summarizeSteady(result *SumsResult) {
+	result.MeanAttempts, result.MaxLoad, result.MinLoad = s.fleet.Backends.LoadSpread()
+	connections := make([]int, len(s.list)+1)
+	for pair := range s.sentPairs {
 		connections[pair[1]]++
-		result.ConnectionsMost = max(result.ConnectionsMost, connections[pair[1]])
+		result.MaxConnections = max(result.MaxConnections, connections[pair[1]])
 	}
-	result.ConnectionsMean = float64(len(p.pairs)) / float64(len(p.list))
-	result.BackendsOfGateway = float64(len(p.pairs)) / float64(len(p.fleet.Gateways))
+	result.MeanConnections = float64(len(s.sentPairs)) / float64(len(s.list))
+	result.BackendsPerGateway = float64(len(s.sentPairs)) / float64(len(s.fleet.Gateways))
 }
 
-// replace starts a part of the backends anew, and most gateways from nothing at the same moment.
-func (p *sumsPlay) replace(result *SumsResult) error {
-	p.replacedAt = p.fleet.Clock.Now()
-	result.Replaced = int(replacedShare * float64(len(p.list)))
-	for i := range result.Replaced {
-		p.list[i] = ready(p.list[i], p.replacedAt)
+// replaceBackends replaces a share of the backends by new, cold processes. Most gateways restart at the same moment and
+// lose all state; the others receive the changes.
+func (s *sumsSimulation) replaceBackends(result *SumsResult) error {
+	s.replacedAt = s.fleet.Clock.Now()
+	result.ReplacedBackends = int(replacedShare * float64(len(s.list)))
+	for i := range result.ReplacedBackends {
+		s.list[i] = asReady(s.list[i], s.replacedAt)
 	}
-	for number, hollow := range p.fleet.Gateways {
-		if p.fleet.Random.Float64() >= restartedShare {
-			hollow.TakeChanges(p.replacedAt, p.list[:result.Replaced])
-			result.ChangesTaken += result.Replaced
+	for number, hollow := range s.fleet.Gateways {
+		if s.fleet.Random.Float64() >= restartedShare {
+			hollow.ApplyChanges(s.replacedAt, s.list[:result.ReplacedBackends])
+			result.ChangesTaken += result.ReplacedBackends
 			continue
 		}
-		if err := p.fleet.Restart(number, p.list); err != nil {
+		if err := s.fleet.Restart(number, s.list); err != nil {
 			return err
 		}
 		result.RestartedGateways++
@@ -148,19 +158,20 @@
 	return nil
 }
 
-// countCold finds the worst moment of any replaced backend, against the rule on cold ones.
-func (p *sumsPlay) countCold(result *SumsResult) {
-	settings := p.fleet.settings
-	for id := 1; id <= result.Replaced; id++ {
-		sends, from := p.coldSends[id], 0
-		for i := range sends {
-			for sends[i]-sends[from] > settings.FallFor {
-				from++
+// computeMaxColdLoad finds the highest number of sends to a replaced backend within FallFor, relative to the number
+// that overloads a backend of its age.
+func (s *sumsSimulation) computeMaxColdLoad(result *SumsResult) {
+	settings := s.fleet.settings
+	for id := 1; id <= result.ReplacedBackends; id++ {
+		sendTimes, windowStart := s.coldSendTimes[id], 0
+		for i := range sendTimes {
+			for sendTimes[i]-sendTimes[windowStart] > settings.FallFor {
+				windowStart++
 			}
-			age := (sends[from] - p.replacedAt).Seconds()
+			age := (sendTimes[windowStart] - s.replacedAt).Seconds()
 			warmth := settings.ColdFrom + (1-settings.ColdFrom)*age/settings.WarmWithin.Seconds()
-			bears := settings.FallMultiple * warmth * result.CapacityOfBackend * settings.FallFor.Seconds()
-			result.ColdWorst = max(result.ColdWorst, float64(i-from+1)/bears)
+			overloadLimit := settings.FallMultiple * warmth * result.BackendCapacity * settings.FallFor.Seconds()
+			result.MaxColdLoad = max(result.MaxColdLoad, float64(i-windowStart+1)/overloadLimit)
 		}
 	}
 }
--- a/internal/scalelab/target.go
+++ b/internal/scalelab/target.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The size that the system has to carry.
+// The target: the size that the system has to support.
 const (
 	TargetGateways      = 3900
 	TargetBackends      = 51_000
@@ -10,17 +10,17 @@
 	TargetRoutes        = 33_000
 	TargetZones         = 24 // 3 regions of 8
 	TargetRegions       = 3
-	TargetRequestRate   = 282 // a second, of one gateway
-	TargetRestarts      = 6_700
-	TargetFailures      = 64
-	TargetConfigChanges = 2_400 // a day
+	TargetRequestRate   = 282   // per second, at one gateway
+	TargetRestarts      = 6_700 // of backends, per day
+	TargetFailures      = 64    // of backend machines, per day
+	TargetConfigChanges = 2_400 // per day
 )
 
-// The budgets that it has to be carried in.
+// The budgets of one gateway at the target.
 const (
-	BudgetAddedLatency  = 1400 * time.Microsecond // 99 requests in 100
-	BudgetControlCPU    = 0.011                   // of a core, for control
-	BudgetControlMemory = 64 << 20                // bytes
-	BudgetControlBytes  = 8 << 10                 // a second
-	BudgetInForce       = 20 * time.Second
+	BudgetAddedLatency  = 1400 * time.Microsecond // 99th percentile
+	BudgetControlCPU    = 0.011                   // share of a core for the control plane
+	BudgetControlMemory = 64 << 20                // bytes for the control plane
+	BudgetControlBytes  = 8 << 10                 // per second for the control plane
+	BudgetPropagation   = 20 * time.Second        // until a change is in force at all gateways
 )
--- a/internal/scalelab/wire.go
+++ b/internal/scalelab/wire.go
@@ -8,42 +8,43 @@
 	"herontiller/internal/frontdoor"
 )
 
-// endpoint is a backend as discovery writes it.
-func endpoint(backend BackendInfo, address string) frontdoor.Endpoint {
+// toEndpoint converts a backend to the wire format of discovery.
+func toEndpoint(backend BackendInfo, address string) frontdoor.Endpoint {
 	health := [...]string{"Ready", "Terminating", "Gone"}[backend.State]
 	return frontdoor.Endpoint{Host: fmt.Sprintf("s-%08x", uint32(backend.ID)), Dial: address, Site: backend.Zone,
 		Class: backend.Kind, Block: backend.Cell, Health: health, Share: backend.Weight,
 		BornMS: backend.Started.Milliseconds()}
 }
 
-// backendAddress is where a backend of the simulated network listens.
+// backendAddress returns the address of a simulated backend.
 func backendAddress(id BackendID) string {
 	return fmt.Sprintf("10.%d.%d.%d:8443", byte(id>>16), byte(id>>8), byte(id))
 }
 
-// listBytes is the length of a list, or of changes, as discovery writes it.
-func listBytes(sequence int64, whole bool, backends []BackendInfo) int {
+// encodedListBytes returns the length of a whole list or a list of changes in the wire format of discovery, with its
+// newline.
+func encodedListBytes(sequence int64, whole bool, backends []BackendInfo) int {
 	list := frontdoor.EndpointList{Seq: sequence, Whole: whole, Hosts: make([]frontdoor.Endpoint, len(backends))}
 	for i, backend := range backends {
-		list.Hosts[i] = endpoint(backend, backendAddress(backend.ID))
+		list.Hosts[i] = toEndpoint(backend, backendAddress(backend.ID))
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
 		return 0
 	}
-	return len(text) + 1 // the line's end
+	return len(text) + 1 // newline
 }
 
-// emptyListBytes is the length of changes without an entry.
-var emptyListBytes = listBytes(1, false, nil)
+// emptyListBytes is the encoded length of a list of changes without entries.
+var emptyListBytes = encodedListBytes(1, false, nil)
 
-// entryBytes is the length of one entry in a list, with its comma.
-func entryBytes(backend BackendInfo) int {
-	return listBytes(1, false, []BackendInfo{backend}) - emptyListBytes + 1
+// encodedEntryBytes returns the encoded length of one entry of a list, with its comma.
+func encodedEntryBytes(backend BackendInfo) int {
+	return encodedListBytes(1, false, []BackendInfo{backend}) - emptyListBytes + 1
 }
 
-// settingsText is the part of a configuration file that holds classes and plans.
-func settingsText(settings Settings) string {
+// encodeSettings returns the settings section of a configuration file, which holds the classes and plans.
+func encodeSettings(settings Settings) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, `{"balancers":%d,"me":%d,"lanes":[`, settings.Gateways, settings.Me)
 	for i, class := range settings.Classes {
@@ -58,7 +59,8 @@
 		if i > 0 {
 			text.WriteByte(',')
 		}
-		fmt.Fprintf(&text, `{"name":%q,"units_per_s":%g,"burst":%g,"value_factor":%g}`, plan.Name, plan.Rate, plan.Burst,
+		fmt.Fprintf(&text, `{"name":%q,"units_per_s":%g,"burst":%g,"value_factor":%g}`, plan.Name, plan.Rate,
+			plan.Burst,
 			plan.Price)
 	}
 	fmt.Fprintf(&text, `],"family_info":{"meter_period_us":%d,"largest":%g},`, settings.MeterPeriod.Microseconds(),
@@ -67,8 +69,9 @@
 	return text.String()
 }
 
-func (c *Cost) measureWire(backends []BackendInfo, settings Settings) {
-	c.FullListBytes = float64(listBytes(1, true, backends))
-	c.ChangeBytes = float64(listBytes(1, false, backends[len(backends)-1:]))
-	c.SettingsBytes = float64(len(settingsText(settings)))
+// measureEncodedSizes records the encoded lengths of the list, of a change of one entry and of the settings.
+func (c *Cost) measureEncodedSizes(backends []BackendInfo, settings Settings) {
+	c.FullListBytes = float64(encodedListBytes(1, true, backends))
+	c.ChangeBytes = float64(encodedListBytes(1, false, backends[len(backends)-1:]))
+	c.SettingsBytes = float64(len(encodeSettings(settings)))
 }
