--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -44,13 +44,13 @@
 	if err != nil {
 		return err
 	}
-	environment, err := startEnvironment(config.Discovery, args.Backends)
+	env, err := startEnvironment(config.Discovery, args.Backends)
 	if err != nil {
 		return err
 	}
-	defer environment.stop()
+	defer env.stop()
 	_, err = fmt.Fprintf(out, "%d backends; discovery at %s\n\nStart the gateway:\n\n    NODE_CONFIG=%s bin/herontiller\n\n"+
-		"Send a request, each with a new Request-Id:\n\n%s\n", args.Backends, environment.agent.Address, args.Config,
+		"Send a request, each with a new Request-Id:\n\n%s\n", args.Backends, env.agent.Address, args.Config,
 		curlCommand(request))
 	if err != nil {
 		return err
--- a/cmd/standin/main_test.go
+++ b/cmd/standin/main_test.go
@@ -67,12 +67,12 @@
 
 func TestGatewayAnswersExampleRequest(t *testing.T) {
 	config := loadExample(t)
-	environment, err := startEnvironment(config.Discovery, 4)
+	env, err := startEnvironment(config.Discovery, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer environment.stop()
-	config.Discovery = environment.agent.Address
+	defer env.stop()
+	config.Discovery = env.agent.Address
 	config.Listen = startGateway(t, config)
 	request, err := exampleRequest(config)
 	if err != nil {
@@ -156,8 +156,8 @@
 		{"all interfaces", "0.0.0.0:0", 1},
 		{"address in use", inUse.Addr().String(), 1},
 	} {
-		if environment, err := startEnvironment(test.discovery, test.backends); err == nil {
-			environment.stop()
+		if env, err := startEnvironment(test.discovery, test.backends); err == nil {
+			env.stop()
 			t.Errorf("%s: the environment started", test.name)
 		}
 	}
--- a/internal/scalelab/capacity.go
+++ b/internal/scalelab/capacity.go
@@ -85,38 +85,38 @@
 		r.findSlope("classes", "state", "bytes") == nil || r.findSlope("gateways", "state", "bytes") == nil {
 		return nil
 	}
-	sum := func(figure, unit string) float64 {
+	extrapolate := func(figure, unit string) float64 {
 		return r.findSlope("backends", figure, unit).valueAt(TargetBackends) +
 			r.addedBy("customers", figure, unit, slopeBase.Customers, activeCustomers) +
 			r.addedBy("classes", figure, unit, slopeBase.Classes, TargetRoutes) +
 			r.addedBy("gateways", figure, unit, slopeBase.Gateways, TargetGateways)
 	}
-	tick, request := sum("tick", "us")/1e6, sum("request and outcome", "us")
+	tick, request := extrapolate("tick", "us")/1e6, extrapolate("request and outcome", "us")
 	changes := r.findSlope("backends", "program: list change", "us").valueAt(TargetBackends) / 1e6 *
 		(TargetRestarts + TargetFailures) * entriesPerRestart / secondsPerDay
 	const megabyte = 1 << 20
-	settings := r.findSlope("classes", "settings", "bytes").valueAt(TargetRoutes)
-	list := r.findSlope("backends", "whole list", "bytes").valueAt(TargetBackends)
+	settingsLength := r.findSlope("classes", "settings", "bytes").valueAt(TargetRoutes)
+	listLength := r.findSlope("backends", "whole list", "bytes").valueAt(TargetBackends)
 	return append(rows,
-		CapacityRow{What: "gateway: state of the decision module", Figure: sum("state", "bytes") / megabyte,
+		CapacityRow{What: "gateway: state of the decision module", Figure: extrapolate("state", "bytes") / megabyte,
 			Budget: BudgetControlMemory / megabyte, Unit: "MB", Basis: "sum of measured slopes"},
 		CapacityRow{What: "gateway: processor time of tick and list changes", Figure: (tick + changes) * 100,
 			Budget: BudgetControlCPU * 100, Unit: "% of a core", Basis: "sum of measured slopes"},
 		CapacityRow{What: "gateway: live heap of the program with module, list and settings", Unit: "MB",
-			Figure: (sum("program: state", "bytes") +
+			Figure: (extrapolate("program: state", "bytes") +
 				r.addedBy("customers", "state", "bytes", 0, activeCustomers)) / megabyte,
 			Budget: BudgetControlMemory / megabyte, Basis: "sum of measured slopes"},
 		CapacityRow{What: "gateway: decision of one request while 1 in 100 backends is cold", Unit: "us",
-			Figure: sum("request while 1 in 100 backends is cold", "us"), Basis: "sum of measured slopes",
+			Figure: extrapolate("request while 1 in 100 backends is cold", "us"), Basis: "sum of measured slopes",
 			Budget: float64(BudgetAddedLatency.Microseconds())},
 		CapacityRow{What: "gateway: decision of one request", Figure: request, Unit: "us",
-			Basis:  "sum of measured slopes",
-			Budget: float64(BudgetAddedLatency.Microseconds())},
+			Basis: "sum of measured slopes", Budget: float64(BudgetAddedLatency.Microseconds())},
 		CapacityRow{What: "gateway: whole settings at each of 2,400 changes a day", Unit: "bytes/s",
-			Figure: settings * TargetConfigChanges / secondsPerDay, Budget: BudgetControlBytes,
+			Figure: settingsLength * TargetConfigChanges / secondsPerDay, Budget: BudgetControlBytes,
 			Basis: "measured size, worked out"},
 		CapacityRow{What: "gateway: seconds that a whole list takes at 8 KB a second", Unit: "s",
-			Figure: list / BudgetControlBytes, Budget: BudgetPropagation.Seconds(), Basis: "measured size, worked out"},
+			Figure: listLength / BudgetControlBytes, Budget: BudgetPropagation.Seconds(),
+			Basis: "measured size, worked out"},
 	)
 }
 
@@ -126,16 +126,15 @@
 	for _, churn := range r.Churn {
 		if churn.Backends == TargetBackends {
 			rows = append(rows, CapacityRow{What: "gateway: list changes of a day, mean",
-				Figure: churn.BytesPerDay / secondsPerDay,
-				Budget: BudgetControlBytes, Unit: "bytes/s", Basis: "measured"})
+				Figure: churn.BytesPerDay / secondsPerDay, Budget: BudgetControlBytes,
+				Unit: "bytes/s", Basis: "measured"})
 			rows = append(rows, churn.peakSecondRow())
 		}
 		for _, phase := range churn.Phases {
 			if churn.Gateways == r.Options.Gateways {
 				rows = append(rows, CapacityRow{What: fmt.Sprintf("%s: in force at the last of %d gateways", phase.Name,
 					churn.Gateways), Figure: phase.MaxDelayMillis / 1000, Budget: BudgetPropagation.Seconds(),
-					Unit:  "s",
-					Basis: "played; the stand-in's delays"})
+					Unit: "s", Basis: "played; the stand-in's delays"})
 			}
 		}
 	}
@@ -148,8 +147,7 @@
 		return cmp.Compare(a.MaxBytesPerSecond, b.MaxBytesPerSecond)
 	})
 	return CapacityRow{What: "gateway: list changes, worst second (" + worst.Name + ")",
-		Figure: float64(worst.MaxBytesPerSecond),
-		Budget: BudgetControlBytes, Unit: "bytes/s", Basis: "measured"}
+		Figure: float64(worst.MaxBytesPerSecond), Budget: BudgetControlBytes, Unit: "bytes/s", Basis: "measured"}
 }
 
 // socketRows reports the costs of a real gateway for each length of the list.
@@ -187,11 +185,9 @@
 	if r.Sums != nil {
 		rows = append(rows,
 			CapacityRow{What: "fleet: load of the busiest backend over the mean",
-				Figure: r.Sums.MaxLoad, Budget: maxLoadRatio,
-				Unit: "times", Basis: "played"},
+				Figure: r.Sums.MaxLoad, Budget: maxLoadRatio, Unit: "times", Basis: "played"},
 			CapacityRow{What: "fleet: sends to a cold backend over what makes it fall",
-				Figure: r.Sums.MaxColdLoad, Budget: 1,
-				Unit: "times", Basis: "played"})
+				Figure: r.Sums.MaxColdLoad, Budget: 1, Unit: "times", Basis: "played"})
 	}
 	for _, quota := range r.Quota {
 		if quota.Spread == slices.Max(quotaSpreads) && !quota.HasCeiling {
--- a/internal/scalelab/churn.go
+++ b/internal/scalelab/churn.go
@@ -39,12 +39,12 @@
 
 // churnScenario publishes the list changes of one day.
 type churnScenario struct {
-	clock       *Clock
-	random      *rand.Rand
-	discovery   *Discovery
-	scale       float64 // share of the target's restarts and failures
-	backends    int
-	unavailable map[BackendID]bool // restarting or failed; other events skip them
+	clock        *Clock
+	random       *rand.Rand
+	discovery    *Discovery
+	scale        float64 // share of the target's restarts and failures
+	backendCount int
+	unavailable  map[BackendID]bool // restarting or failed; other events skip them
 }
 
 // RunChurn simulates one day of changes to the list of backends and measures how hollow gateways apply them. It
@@ -75,7 +75,7 @@
 		hollow.ApplyList(simulationStart, list)
 		hollows[number] = hollow
 	}
-	scenario := &churnScenario{clock: clock, random: random, scale: result.Scale, backends: backends,
+	scenario := &churnScenario{clock: clock, random: random, scale: result.Scale, backendCount: backends,
 		unavailable: map[BackendID]bool{}, discovery: NewDiscovery(clock, random, list, hollows)}
 	result.Phases = scenario.schedulePhases(&result)
 	clock.RunUntil(simulationStart+day+machineRepairTime+time.Minute, func() bool {
@@ -98,10 +98,10 @@
 	configChanges := NewPhase("configuration changes")
 	restarts := max(1, int(s.scale*TargetRestarts))
 	rollingRestarts := int(rollingShare * float64(restarts))
-	firstIndex := s.random.IntN(s.backends)
+	firstIndex := s.random.IntN(s.backendCount)
 	for i := range rollingRestarts {
 		s.clock.AfterFunc(rollingStart+time.Duration(i)*rollingDuration/time.Duration(rollingRestarts), func() {
-			s.restartBackend(rolling, BackendID((firstIndex+i)%s.backends+1))
+			s.restartBackend(rolling, BackendID((firstIndex+i)%s.backendCount+1))
 		})
 	}
 	for range restarts - rollingRestarts {
@@ -136,20 +136,23 @@
 	s.clock.AfterFunc(time.Duration(s.random.Int64N(int64(day))), run)
 }
 
-func (s *churnScenario) randomBackend() BackendID { return BackendID(s.random.IntN(s.backends) + 1) }
+// randomBackend returns the ID of a random backend.
+func (s *churnScenario) randomBackend() BackendID {
+	return BackendID(s.random.IntN(s.backendCount) + 1)
+}
 
 // randomRack returns the backends of a rack. All of them are in one zone.
 func (s *churnScenario) randomRack() (ids []BackendID) {
-	first := s.random.IntN(s.backends)
-	for i := range min(rackSize, s.backends/2) {
-		ids = append(ids, BackendID((first+i*TargetZones)%s.backends+1))
+	first := s.random.IntN(s.backendCount)
+	for i := range min(rackSize, s.backendCount/2) {
+		ids = append(ids, BackendID((first+i*TargetZones)%s.backendCount+1))
 	}
 	return ids
 }
 
 // firstZone returns all backends of the first zone.
 func (s *churnScenario) firstZone() (ids []BackendID) {
-	for i := 0; i < s.backends; i += TargetZones {
+	for i := 0; i < s.backendCount; i += TargetZones {
 		ids = append(ids, BackendID(i+1))
 	}
 	return ids
--- a/internal/scalelab/fixture.go
+++ b/internal/scalelab/fixture.go
@@ -48,8 +48,8 @@
 // exhausts.
 func newSettings(size Size) Settings {
 	settings := Settings{Gateways: size.Gateways, Zone: zoneName(0), MeterPeriod: meterPeriod,
-		LargestUnits: maxRequestUnits,
-		MaxAttempts:  3, CanCancel: true, AnswerGrace: 50 * time.Millisecond, DrainGrace: 500 * time.Millisecond,
+		LargestUnits: maxRequestUnits, MaxAttempts: 3, CanCancel: true,
+		AnswerGrace: 50 * time.Millisecond, DrainGrace: 500 * time.Millisecond,
 		ColdFrom: 0.19, WarmWithin: 15 * time.Second, FallMultiple: 3, FallFor: 1500 * time.Millisecond,
 		MaxRetryAfter: time.Second}
 	for number := range size.Classes {
--- a/internal/scalelab/fleet.go
+++ b/internal/scalelab/fleet.go
@@ -20,9 +20,9 @@
 	lastID      RequestID
 
 	// Callbacks of the experiment.
-	OnSend   func(from *HollowGateway, attempt Attempt)
+	OnSend   func(hollow *HollowGateway, attempt Attempt)
 	OnAnswer func(request Request)
-	OnReject func(from *HollowGateway, request Request)
+	OnReject func(hollow *HollowGateway, request Request)
 }
 
 const meanAttemptTime = 100 * time.Millisecond // of an attempt at a simulated backend
--- a/internal/scalelab/hollow.go
+++ b/internal/scalelab/hollow.go
@@ -87,12 +87,12 @@
 	h.handle(now, request)
 }
 
-// HandleAnswer ends an attempt with a successful answer that carries the meter's reading, use, in percent of the
-// customer's rate.
-func (h *HollowGateway) HandleAnswer(now time.Duration, attempt Attempt, took time.Duration, use float64) {
+// HandleAnswer ends an attempt with a successful answer that carries the meter's reading, in percent of the customer's
+// rate.
+func (h *HollowGateway) HandleAnswer(now time.Duration, attempt Attempt, duration time.Duration, usePercent float64) {
 	delete(h.inFlight, attempt.Request.ID)
 	h.handle(now, Outcome{Request: attempt.Request.ID, Backend: attempt.Backend, Attempt: attempt.Number,
-		Result: gateway.Answered, Took: took, Final: true, HasUse: true, Use: use})
+		Result: gateway.Answered, Took: duration, Final: true, HasUse: true, Use: usePercent})
 }
 
 // HandleConnectFailure ends an attempt whose connection could not be established.
--- a/internal/scalelab/lab.go
+++ b/internal/scalelab/lab.go
@@ -99,9 +99,9 @@
 		return nil, err
 	}
 	report := &Report{Options: options}
-	runExperiment := map[string]func(context.Context, Progress) error{"slopes": report.runSlopes,
-		"quota": report.runQuota,
-		"sums":  report.runSums, "churn": report.runChurn, "watches": report.runWatches, "sockets": report.runSockets}
+	runExperiment := map[string]func(context.Context, Progress) error{
+		"slopes": report.runSlopes, "quota": report.runQuota, "sums": report.runSums,
+		"churn": report.runChurn, "watches": report.runWatches, "sockets": report.runSockets}
 	for _, name := range Experiments {
 		if !slices.Contains(options.Experiments, name) {
 			continue
--- a/internal/scalelab/load.go
+++ b/internal/scalelab/load.go
@@ -53,8 +53,7 @@
 	}
 	for name, value := range map[string]string{"Request-Id": fmt.Sprintf("%016x", id), "Request-Class": className(0),
 		"X-Tier": amplePlan, "X-Api-Key": fmt.Sprintf("%016x", id%uint64(slopeBase.Customers)),
-		"Request-Timeout": "2.5",
-		"X-Call-Terms":    "units=1,spread=1,first=0"} {
+		"Request-Timeout": "2.5", "X-Call-Terms": "units=1,spread=1,first=0"} {
 		request.Header.Set(name, value)
 	}
 	response, err := c.transport.RoundTrip(request)
--- a/internal/scalelab/quota.go
+++ b/internal/scalelab/quota.go
@@ -46,9 +46,9 @@
 }
 
 // refill adds the tokens earned since the last refill.
-func (s *trueBucket) refill(now time.Duration) {
-	s.tokens = min(s.burst, s.tokens+s.rate*(now-s.refilledAt).Seconds())
-	s.refilledAt = now
+func (b *trueBucket) refill(now time.Duration) {
+	b.tokens = min(b.burst, b.tokens+b.rate*(now-b.refilledAt).Seconds())
+	b.refilledAt = now
 }
 
 // quotaCustomer is a simulated customer with its exact buckets and its totals.
@@ -107,6 +107,8 @@
 	requests  int
 }
 
+// newQuotaSimulation returns a simulation that receives the callbacks of the fleet. The buckets of all customers start
+// full.
 func newQuotaSimulation(fleet *Fleet, plan Plan, spread int) *quotaSimulation {
 	simulation := &quotaSimulation{fleet: fleet, spread: spread,
 		customers: make([]quotaCustomer, heavyCount+lightCount)}
@@ -120,8 +122,8 @@
 	return simulation
 }
 
-// submitRequest sends a request of a random customer. Heavy and light customers request equal units each time, so the
-// heavy ones are drawn more often, in proportion to their demand.
+// submitRequest sends a request of a random customer. The units of a request follow the same distribution for all
+// customers, so each customer is drawn in proportion to its demand.
 func (s *quotaSimulation) submitRequest() {
 	random := s.fleet.Random
 	number := random.IntN(heavyCount)
@@ -136,8 +138,7 @@
 	offset := int(float64(s.spread) * math.Pow(random.Float64(), 2.5))
 	gateway := (customer.firstGateway + offset) % len(s.fleet.Gateways)
 	s.fleet.SubmitRequest(gateway, Request{Customer: CustomerID(number), Class: className(0), Plan: quotaPlan,
-		Units:        units,
-		FirstGateway: customer.firstGateway, Spread: s.spread})
+		Units: units, FirstGateway: customer.firstGateway, Spread: s.spread})
 }
 
 // recordSend checks the first attempt of a request against the exact buckets of its customer.
--- a/internal/scalelab/report.go
+++ b/internal/scalelab/report.go
@@ -66,8 +66,7 @@
 	fmt.Fprintln(out, "gateways/customer\tunits/s\tceiling\theavy: sent over quota\texcess\tlight: served\toverrun")
 	for _, quota := range r.Quota {
 		fmt.Fprintf(out, "%d\t%g\t%t\t%.3f\t%.4f\t%.3f\t%.2f\n", quota.Spread, quota.Rate, quota.HasCeiling,
-			quota.HeavySentRatio,
-			quota.ExcessShare, quota.LightServedShare, quota.CeilingOverrun)
+			quota.HeavySentRatio, quota.ExcessShare, quota.LightServedShare, quota.CeilingOverrun)
 	}
 }
 
@@ -81,8 +80,8 @@
 	for _, row := range []struct {
 		name  string
 		value any
-	}{{"requests", sums.Requests}, {"rejected", sums.Rejected}, {"whole lists applied", sums.ListsTaken},
-		{"changed entries applied", sums.ChangesTaken}, {"heap per gateway, bytes", sums.BytesPerGateway},
+	}{{"requests", sums.Requests}, {"rejected", sums.Rejected}, {"whole lists applied", sums.AppliedLists},
+		{"changed entries applied", sums.AppliedChanges}, {"heap per gateway, bytes", sums.BytesPerGateway},
 		{"backends in use per gateway", sums.BackendsPerGateway}, {"gateways per backend, mean", sums.MeanConnections},
 		{"gateways per backend, maximum", sums.MaxConnections}, {"attempts per backend, mean", sums.MeanAttempts},
 		{"attempts of the busiest backend over the mean", sums.MaxLoad},
@@ -105,11 +104,9 @@
 				"until applied: median ms\t99th\tmax")
 		for _, phase := range churn.Phases {
 			fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%.0f\t%.1f\t%d\t%.1f\t%.0f\t%.0f\t%.0f\n", phase.Name,
-				phase.PublishedEntries, phase.Messages,
-				phase.WholeLists, phase.BytesPerGateway, phase.CPUMillisPerGateway,
-				phase.MaxBytesPerSecond, phase.MaxCPUMillisPerSecond,
-				phase.MedianDelayMillis,
-				phase.P99DelayMillis, phase.MaxDelayMillis)
+				phase.PublishedEntries, phase.Messages, phase.WholeLists, phase.BytesPerGateway,
+				phase.CPUMillisPerGateway, phase.MaxBytesPerSecond, phase.MaxCPUMillisPerSecond,
+				phase.MedianDelayMillis, phase.P99DelayMillis, phase.MaxDelayMillis)
 		}
 	}
 }
@@ -121,8 +118,7 @@
 	}
 	for _, watch := range r.Watches {
 		fmt.Fprintf(out, "%d\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.3f\n",
-			watch.Gateways, watch.Case, watch.NotifiedGateways,
-			watch.MedianMillis, watch.P99Millis,
+			watch.Gateways, watch.Case, watch.NotifiedGateways, watch.MedianMillis, watch.P99Millis,
 			watch.MaxMillis, watch.CPUMillisPerGateway)
 	}
 	if len(r.Sockets) == 0 {
@@ -134,11 +130,9 @@
 		"failed\tburst: added 99th\tfailed\tdirect 99th")
 	for _, socket := range r.Sockets {
 		fmt.Fprintf(out, "%d\t%d\t%t\t%.1f\t%.1f\t%.0f\t%.0f\t%.0f\t%.2f\t%d of %d\t%.0f\t%d of %d\t%.0f\n",
-			socket.Listed,
-			socket.ListBytes, socket.ListApplied, socket.ListApplyMillis, socket.ListPeakMegabytes,
-			socket.AddedMedianMicros, socket.AddedP99Micros,
-			socket.AddedCPUMicros, socket.IdleCPU*100, socket.Steady.Failed, socket.Steady.Requests,
-			socket.AddedBurstP99Micros,
+			socket.Listed, socket.ListBytes, socket.ListApplied, socket.ListApplyMillis, socket.ListPeakMegabytes,
+			socket.AddedMedianMicros, socket.AddedP99Micros, socket.AddedCPUMicros, socket.IdleCPU*100,
+			socket.Steady.Failed, socket.Steady.Requests, socket.AddedBurstP99Micros,
 			socket.Burst.Failed, socket.Burst.Requests, socket.Direct.P99Micros)
 	}
 }
--- a/internal/scalelab/single.go
+++ b/internal/scalelab/single.go
@@ -37,7 +37,7 @@
 	measuredSeconds       = 10                    // simulated seconds of requests at the target's rate
 	measuredChanges       = 2000                  // list changes of one entry
 	idleConnectionTimeout = 9 * time.Second       // of the real gateway: 0.6 of the setting conn_idle_us
-	firstRequestsWithin   = 40 * time.Second      // for all first requests; the gateway forgets idle customers later
+	firstRequestsWithin   = 40 * time.Second      // for all first requests; a gateway drops idle customers only later
 	reportedUse           = 10.0                  // meter reading of each customer, percent of its rate
 	coldShare             = 0.01                  // share of the backends that are cold at once; at least one is
 	coldSeconds           = 2                     // simulated seconds of requests while backends are cold
@@ -49,7 +49,7 @@
 type singleHost struct {
 	now          time.Duration
 	gateway      *HollowGateway
-	inFlight     []Attempt
+	inFlight     []Attempt       // oldest first
 	sentAt       []time.Duration // of the attempts in flight
 	rejected     int             // requests
 	sentAttempts int
@@ -75,8 +75,7 @@
 func (s *singleHost) submitRequest(customer, class int) {
 	s.lastID++
 	s.gateway.HandleRequest(s.now, Request{ID: s.lastID, Customer: CustomerID(customer), Class: className(class),
-		Plan:  amplePlan,
-		Units: 1, Patience: requestDeadline, FirstGateway: 0, Spread: s.spread})
+		Plan: amplePlan, Units: 1, Patience: requestDeadline, FirstGateway: 0, Spread: s.spread})
 }
 
 // advanceTo answers the attempts that are due until end and sets the clock to end.
--- a/internal/scalelab/sums.go
+++ b/internal/scalelab/sums.go
@@ -7,15 +7,15 @@
 )
 
 // SumsResult holds the totals of a whole fleet in the sums experiment: in a steady phase, and after a share of the
-// backends was replaced by new processes.
+// backends was replaced by new processes. A MaxColdLoad above 1 means that a cold backend was overloaded.
 type SumsResult struct {
 	Gateways           int     `json:"gateways"`
 	Backends           int     `json:"backends"`
 	RequestRate        float64 `json:"request_rate"` // of one gateway, per second
 	Requests           int     `json:"requests"`
 	Rejected           int     `json:"rejected"`
-	ListsTaken         int     `json:"lists_taken"`         // whole lists, over all gateways
-	ChangesTaken       int     `json:"changes_taken"`       // changed entries, over all gateways
+	AppliedLists       int     `json:"lists_taken"`         // whole lists, over all gateways
+	AppliedChanges     int     `json:"changes_taken"`       // changed entries, over all gateways
 	MeanConnections    float64 `json:"connections_mean"`    // gateways that sent to a backend in the steady phase
 	MaxConnections     int     `json:"connections_most"`    // of any backend
 	BackendsPerGateway float64 `json:"backends_of_gateway"` // mean number that a gateway sent to in the steady phase
@@ -45,7 +45,7 @@
 // RunSums simulates a whole fleet: a steady phase of sumsSteadyTime, then the replacement of some backends and the
 // restart of most gateways, followed by sumsColdTime.
 func RunSums(ctx context.Context, gateways, backends int, seed uint64, progress Progress) (SumsResult, error) {
-	result := SumsResult{Gateways: gateways, Backends: backends, RequestRate: sumsRequestRate, ListsTaken: gateways,
+	result := SumsResult{Gateways: gateways, Backends: backends, RequestRate: sumsRequestRate, AppliedLists: gateways,
 		SimulatedTime: (sumsSteadyTime + sumsColdTime).String(), SteadySeconds: sumsSteadyTime.Seconds()}
 	size := Size{Backends: backends, Customers: slopeBase.Customers, Classes: 1, Gateways: gateways}
 	if err := size.Validate(); err != nil {
@@ -98,7 +98,7 @@
 	replacedAt         time.Duration          // zero in the steady phase
 }
 
-// newSumsSimulation registers the callbacks of a simulation with the fleet.
+// newSumsSimulation returns a simulation that receives the callbacks of the fleet.
 func newSumsSimulation(fleet *Fleet, list []BackendInfo) *sumsSimulation {
 	simulation := &sumsSimulation{fleet: fleet, list: list, sentPairs: map[[2]uint32]struct{}{},
 		coldSendTimes: make([][]time.Duration, len(list)+1)}
@@ -119,8 +119,8 @@
 	s.requests++
 	random := s.fleet.Random
 	s.fleet.SubmitRequest(random.IntN(len(s.fleet.Gateways)), Request{
-		Customer: CustomerID(random.IntN(slopeBase.Customers)),
-		Class:    className(0), Plan: amplePlan, Units: 1, Spread: len(s.fleet.Gateways)})
+		Customer: CustomerID(random.IntN(slopeBase.Customers)), Class: className(0),
+		Plan: amplePlan, Units: 1, Spread: len(s.fleet.Gateways)})
 }
 
 // summarizeSteady computes the load and the connections of the steady phase.
@@ -146,14 +146,14 @@
 	for number, hollow := range s.fleet.Gateways {
 		if s.fleet.Random.Float64() >= restartedShare {
 			hollow.ApplyChanges(s.replacedAt, s.list[:result.ReplacedBackends])
-			result.ChangesTaken += result.ReplacedBackends
+			result.AppliedChanges += result.ReplacedBackends
 			continue
 		}
 		if err := s.fleet.Restart(number, s.list); err != nil {
 			return err
 		}
 		result.RestartedGateways++
-		result.ListsTaken++
+		result.AppliedLists++
 	}
 	return nil
 }
--- a/internal/scalelab/watches.go
+++ b/internal/scalelab/watches.go
@@ -31,7 +31,7 @@
 )
 
 // RunWatches runs the real discovery code of many gateways against one stand-in agent, on real sockets and in real
-// time. It measures a change while all watches are open, and one at whose moment all watches break.
+// time. It measures a change while all watches are open, and one at the moment when all watches break.
 func RunWatches(ctx context.Context, gateways int, progress Progress) ([]WatchResult, error) {
 	if gateways < 1 || gateways > maxWatches {
 		return nil, fmt.Errorf("%d watches: must be between 1 and %d", gateways, maxWatches)
--- a/internal/scalelab/wire.go
+++ b/internal/scalelab/wire.go
@@ -60,8 +60,7 @@
 			text.WriteByte(',')
 		}
 		fmt.Fprintf(&text, `{"name":%q,"units_per_s":%g,"burst":%g,"value_factor":%g}`, plan.Name, plan.Rate,
-			plan.Burst,
-			plan.Price)
+			plan.Burst, plan.Price)
 	}
 	fmt.Fprintf(&text, `],"family_info":{"meter_period_us":%d,"largest":%g},`, settings.MeterPeriod.Microseconds(),
 		settings.LargestUnits)
