--- a/internal/frontdoor/attempts_test.go
+++ b/internal/frontdoor/attempts_test.go
@@ -102,7 +102,7 @@
 					case gateway.Timer:
 						return []gateway.Action{gateway.Send{Request: 0xa1, Backend: 1}}
 					case gateway.Outcome:
-						if ev.Result == gateway.AnsweredErr {
+						if ev.Result == gateway.AnsweredError {
 							return []gateway.Action{gateway.Send{Request: ev.Request, Backend: 1}}
 						}
 					}
@@ -136,7 +136,7 @@
 					await(t, dialing, "the connection to come up")
 				case "between attempts":
 					close(fail)
-					if next[gateway.Outcome](t, g).Result != gateway.AnsweredErr {
+					if next[gateway.Outcome](t, g).Result != gateway.AnsweredError {
 						t.Error("the first attempt did not fail")
 					}
 				}
@@ -167,7 +167,7 @@
 	got := make(chan int, 1)
 	g := script(func(ev gateway.Event) []gateway.Action {
 		if r, ok := ev.(gateway.Request); ok {
-			return []gateway.Action{gateway.Send{Request: r.ID, Backend: 1, Within: time.Nanosecond}}
+			return []gateway.Action{gateway.Send{Request: r.ID, Backend: 1, StartWithin: time.Nanosecond}}
 		}
 		return nil
 	})
--- a/internal/frontdoor/backends.go
+++ b/internal/frontdoor/backends.go
@@ -125,7 +125,7 @@
 			be.endpoint = &endpointPool{addr: e.Dial}
 		}
 		be.startedMS, be.state = e.BornMS, states[e.Health]
-		infos = append(infos, gateway.BackendInfo{ID: be.id, State: be.state, Zone: e.Site, Kind: e.Class, Cell: e.Block,
+		infos = append(infos, gateway.BackendInfo{ID: be.id, State: be.state, Zone: e.Site, MachineType: e.Class, Cell: e.Block,
 			Started: c.unixMilli(e.BornMS), Weight: e.Share})
 	}
 	if list.Whole {
@@ -187,7 +187,7 @@
 		return r
 	}
 	r.result = failedResult(ctx, err)
-	if r.result == gateway.Broken || r.result == gateway.Unknown {
+	if r.result == gateway.ConnectionBroken || r.result == gateway.Unknown {
 		b.logFailure(endpoint, err)
 	}
 	return r
@@ -214,7 +214,7 @@
 	case ctx.Err() != nil:
 		return gateway.TimedOut
 	case errors.Is(err, errConnClosed):
-		return gateway.Broken
+		return gateway.ConnectionBroken
 	}
 	return gateway.Unknown // a malformed response: the backend is as well as before, and the request may have run
 }
@@ -299,7 +299,7 @@
 	defer cancel()
 	start := time.Now()
 	r := b.send(ctx, ctx, id, m)
-	out.Result, out.Took, out.Load = r.result, time.Since(start), r.load
+	out.Result, out.Duration, out.Load = r.result, time.Since(start), r.load
 	if b.loadReports && r.result == gateway.Answered {
 		out.Load = b.parseLoad(strings.TrimSpace(string(r.body)))
 	}
--- a/internal/frontdoor/backends_test.go
+++ b/internal/frontdoor/backends_test.go
@@ -49,7 +49,7 @@
 			t.Fatalf("%s: first attempt ended as %v", name, r.result)
 		}
 		time.Sleep(2 * reuseCooldown) // so that the second takes the same connection
-		if r := b.send(ctx, ctx, id, m); r.result != gateway.Broken {
+		if r := b.send(ctx, ctx, id, m); r.result != gateway.ConnectionBroken {
 			t.Errorf("%s: on a connection that broke the attempt ended as %v, want Broken", name, r.result)
 		}
 		if n := seen.Load(); n != 2 {
@@ -84,18 +84,18 @@
 		want   gateway.Result
 	}{
 		"served":              {reply(200), gateway.Answered},
-		"error":               {reply(500), gateway.AnsweredErr},
-		"not found":           {reply(404), gateway.AnsweredErr},
+		"error":               {reply(500), gateway.AnsweredError},
+		"not found":           {reply(404), gateway.AnsweredError},
 		"rejected with 503":   {reply(503, "Not-Started", "1"), gateway.Rejected},
 		"rejected with 504":   {reply(504, "Not-Started", "1"), gateway.Rejected},
-		"503 without proof":   {reply(503), gateway.AnsweredErr},
-		"504 that denies it":  {reply(504, "Not-Started", "0"), gateway.AnsweredErr},
-		"500 never proves it": {reply(500, "Not-Started", "1"), gateway.AnsweredErr},
-		"connection ends":     {text(""), gateway.Broken},
+		"503 without proof":   {reply(503), gateway.AnsweredError},
+		"504 that denies it":  {reply(504, "Not-Started", "0"), gateway.AnsweredError},
+		"500 never proves it": {reply(500, "Not-Started", "1"), gateway.AnsweredError},
+		"connection ends":     {text(""), gateway.ConnectionBroken},
 		"connection reset": {func(_ int, conn net.Conn) {
 			conn.(*net.TCPConn).SetLinger(0)
 			conn.Close()
-		}, gateway.Broken},
+		}, gateway.ConnectionBroken},
 		// A malformed response may have run, and is no sign against the backend: as Broken it would be held back and
 		// taken for one that has restarted.
 		"body cut midway":     {text("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), gateway.Unknown},
--- a/internal/frontdoor/clients.go
+++ b/internal/frontdoor/clients.go
@@ -144,7 +144,7 @@
 	if c.killTime.Load() != nil {
 		return false
 	}
-	return !c.settings.AskForList || c.loop.hasList.Load() || time.Since(c.started) >= firstListTimeout
+	return !c.settings.SubscribeToList || c.loop.hasList.Load() || time.Since(c.started) >= firstListTimeout
 }
 
 // ServeHTTP serves one request, with exactly one final response.
@@ -180,7 +180,7 @@
 // the context's: context.Canceled after the client has disconnected, context.DeadlineExceeded at the end of its time.
 func (c *Clients) decide(r *http.Request, parsed parsedRequest, arrived time.Time) (finalResponse, error) {
 	forGateway, responseTime := margins(parsed.timeout)
-	parsed.req.Patience = parsed.timeout - forGateway - time.Since(arrived)
+	parsed.req.Timeout = parsed.timeout - forGateway - time.Since(arrived)
 	ctx, cancel := context.WithDeadline(r.Context(), arrived.Add(parsed.timeout-responseTime))
 	defer cancel()
 	parsed.msg.disconnected = disconnectCheck(r, cancel)
--- a/internal/frontdoor/clients_test.go
+++ b/internal/frontdoor/clients_test.go
@@ -120,8 +120,8 @@
 	if res.StatusCode != http.StatusGatewayTimeout {
 		t.Errorf("%s, want the last moment's answer", res.Status)
 	}
-	if req := next[gateway.Request](t, g); req.Patience <= 0 || req.Patience > 500*time.Millisecond-gatewayMargin {
-		t.Errorf("the gateway was given %v", req.Patience)
+	if req := next[gateway.Request](t, g); req.Timeout <= 0 || req.Timeout > 500*time.Millisecond-gatewayMargin {
+		t.Errorf("the gateway was given %v", req.Timeout)
 	}
 	next[gateway.ClientGone](t, g)
 }
--- a/internal/frontdoor/discovery_test.go
+++ b/internal/frontdoor/discovery_test.go
@@ -262,7 +262,7 @@
 func TestAChangeIsKnownInTime(t *testing.T) {
 	agent := Config{Settings: gateway.Settings{Gateways: 350, DrainGrace: 500 * time.Millisecond}}
 	service := func(instances int) Config {
-		return Config{Settings: gateway.Settings{Gateways: instances, DrainGrace: 500 * time.Millisecond, AskForList: true}}
+		return Config{Settings: gateway.Settings{Gateways: instances, DrainGrace: 500 * time.Millisecond, SubscribeToList: true}}
 	}
 	for _, c := range []struct {
 		name   string
--- a/internal/frontdoor/fleet_discovery_test.go
+++ b/internal/frontdoor/fleet_discovery_test.go
@@ -115,7 +115,7 @@
 // follow starts a follower of a fleet of 300.
 func follow(d http.RoundTripper) *followed {
 	config := Config{Discovery: "discovery", Settings: gateway.Settings{Gateways: 300, DrainGrace: 400 * time.Millisecond,
-		AskForList: true}}
+		SubscribeToList: true}}
 	config.Conns.StaleAfter = 10 * time.Second
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/internal/frontdoor/fuzz_test.go
+++ b/internal/frontdoor/fuzz_test.go
@@ -35,8 +35,8 @@
 		if clients.parseTerms(text, &r) != nil {
 			return
 		}
-		if s := c.Settings; !(r.Units > 0) || r.Units > s.LargestUnits || math.IsInf(r.Units, 0) || r.Spread < 1 ||
-			r.Spread > s.Gateways || r.FirstGateway < 0 || r.FirstGateway >= s.Gateways {
+		if s := c.Settings; !(r.Units > 0) || r.Units > s.MaxRequestUnits || math.IsInf(r.Units, 0) || r.GatewayCount < 1 ||
+			r.GatewayCount > s.Gateways || r.FirstGateway < 0 || r.FirstGateway >= s.Gateways {
 			t.Errorf("%q was taken as %+v", text, r)
 		}
 	})
--- a/internal/frontdoor/lease_test.go
+++ b/internal/frontdoor/lease_test.go
@@ -17,7 +17,7 @@
 	if !NewClients(c, mustLoop(t, c)).ready() {
 		t.Error("not ready where lists are pushed")
 	}
-	c.Settings.AskForList = true
+	c.Settings.SubscribeToList = true
 	c.Known = ready("127.0.0.1:7")
 	loop := mustLoop(t, c)
 	clients := NewClients(c, loop)
@@ -28,7 +28,7 @@
 	ask := func(id gateway.RequestID) finalResponse {
 		msg := &message{method: http.MethodGet, target: "/look", host: "origin.svc", header: http.Header{}}
 		a, err := loop.Serve(t.Context(), gateway.Request{ID: id, Customer: 1, Class: "look", Plan: "basic", Units: 1,
-			Patience: patience, Spread: 2}, msg)
+			Timeout: patience, GatewayCount: 2}, msg)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -68,7 +68,7 @@
 	if lease := listLease(c); lease != 0 {
 		t.Errorf("a lease of %v where lists are pushed", lease)
 	}
-	c.Settings.AskForList = true
+	c.Settings.SubscribeToList = true
 	for _, connect := range []time.Duration{50 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second} {
 		c.Conns.Connect = connect
 		if lease := listLease(c); lease+connect >= stalenessBound || lease < stalenessBound/2 {
--- a/internal/frontdoor/loop.go
+++ b/internal/frontdoor/loop.go
@@ -99,7 +99,7 @@
 // have begun, on a new connection, before the staleness bound of what the service may have learned since. 0 means no
 // lease: pushed lists have none, since what the agent has counts as known at once.
 func listLease(c Config) time.Duration {
-	if !c.Settings.AskForList {
+	if !c.Settings.SubscribeToList {
 		return 0
 	}
 	return max(stalenessBound/2, stalenessBound-leaseMargin-c.Conns.Connect)
@@ -144,7 +144,7 @@
 // one: the gateway is notified that the client has disconnected, and the context's error is returned. errDuplicateID is
 // returned for a request whose id is open already.
 func (l *Loop) Serve(ctx context.Context, req gateway.Request, msg *message) (finalResponse, error) {
-	c := &openRequest{id: req.ID, msg: msg, deadline: time.Now().Add(req.Patience), response: make(chan finalResponse, 1)}
+	c := &openRequest{id: req.ID, msg: msg, deadline: time.Now().Add(req.Timeout), response: make(chan finalResponse, 1)}
 	if err := l.begin(c, req); err != nil {
 		return finalResponse{}, err
 	}
@@ -254,8 +254,8 @@
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), due)
 	unsent, cancelUnsent := context.WithCancel(ctx)
-	if a.Within > 0 {
-		unsent, cancelUnsent = context.WithTimeout(ctx, a.Within)
+	if a.StartWithin > 0 {
+		unsent, cancelUnsent = context.WithTimeout(ctx, a.StartWithin)
 	}
 	c.attempts = append(c.attempts, attempt{cancelUnsent: cancelUnsent, cancel: cancel})
 	c.attemptsOpen++
@@ -264,7 +264,7 @@
 		defer cancel() // and with it unsent, its child
 		r := l.backends.send(ctx, unsent, a.Backend, c.msg)
 		l.outcome(c, r, gateway.Outcome{Request: c.id, Backend: a.Backend, Attempt: n, Result: r.result,
-			Took: l.clock.now() - sent, HasUse: r.hasUsage, Use: r.usage, Load: r.load})
+			Duration: l.clock.now() - sent, HasUsage: r.hasUsage, UsagePercent: r.usage, Load: r.load})
 	}()
 }
 
--- a/internal/frontdoor/pace.go
+++ b/internal/frontdoor/pace.go
@@ -17,7 +17,7 @@
 
 // newRetryPolicy is the policy for a configuration.
 func newRetryPolicy(c Config) retryPolicy {
-	p := retryPolicy{sharedService: c.Settings.AskForList, staleAfterFailure: failedFactor * c.Conns.StaleAfter,
+	p := retryPolicy{sharedService: c.Settings.SubscribeToList, staleAfterFailure: failedFactor * c.Conns.StaleAfter,
 		grace: c.Settings.DrainGrace}
 	if p.grace <= 0 { // not in the settings
 		p.grace = 500 * time.Millisecond
--- a/internal/frontdoor/requests.go
+++ b/internal/frontdoor/requests.go
@@ -148,7 +148,7 @@
 	if method == http.MethodGet && head.ContentLength != 0 {
 		return &badFieldError{"a GET with a body", head.RequestURI}
 	}
-	if class.Effect == gateway.Keyed && head.single[headerIdempotencyKey] == "" {
+	if class.Effect == gateway.Deduplicated && head.single[headerIdempotencyKey] == "" {
 		return head.bad(headerIdempotencyKey)
 	}
 	return nil
@@ -200,7 +200,7 @@
 			req.Units, err = strconv.ParseFloat(value, 64)
 		case "spread":
 			again, spread = spread, true
-			req.Spread, err = strconv.Atoi(value)
+			req.GatewayCount, err = strconv.Atoi(value)
 		case "first":
 			again, first = first, true
 			req.FirstGateway, err = strconv.Atoi(value)
@@ -218,8 +218,8 @@
 // validTerms reports whether a request's terms are in the settings' range.
 func (c *Clients) validTerms(req *gateway.Request) bool {
 	s := c.settings
-	return req.Units > 0 && !math.IsInf(req.Units, 0) && (s.LargestUnits <= 0 || req.Units <= s.LargestUnits) &&
-		req.Spread >= 1 && req.Spread <= s.Gateways && req.FirstGateway >= 0 && req.FirstGateway < s.Gateways
+	return req.Units > 0 && !math.IsInf(req.Units, 0) && (s.MaxRequestUnits <= 0 || req.Units <= s.MaxRequestUnits) &&
+		req.GatewayCount >= 1 && req.GatewayCount <= s.Gateways && req.FirstGateway >= 0 && req.FirstGateway < s.Gateways
 }
 
 // parseHex reads exactly 16 hexadecimal digits.
--- a/internal/frontdoor/responses.go
+++ b/internal/frontdoor/responses.go
@@ -50,7 +50,7 @@
 		res.Header.Get("Not-Started") == "1":
 		r.result = gateway.Rejected
 	default:
-		r.result = gateway.AnsweredErr // it may have run
+		r.result = gateway.AnsweredError // it may have run
 	}
 	if v, err := strconv.ParseFloat(res.Header.Get("X-RateLimit-Used"), 64); err == nil && v >= 0 && v <= maxUsagePercent {
 		r.hasUsage, r.usage = true, v
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -5,76 +5,79 @@
 	"slices"
 )
 
-// Admission: the quota, the tier, the reserves, then a backend.
+// Admission of requests.
 
 const (
-	medianOver = 256 // recent arrivals that the tier boundary is the median of
+	medianWindow = 256 // latest arrivals whose median value is the boundary between the tiers
 )
 
-// onRequest is the ordinary path: the quota, the tier, the reserves, then a backend.
+// onRequest admits, queues or rejects a request: it checks the quota, the ceiling, the price of excess and
+// the limit on attempts in flight, in this order.
 func (g *Gateway) onRequest(ev Request) {
 	if g.requests[ev.ID] != nil {
 		return
 	}
-	cl, plan := g.classes[ev.Class], g.plans[ev.Plan]
-	if cl == nil || plan == nil || !(ev.Units >= 0) || math.IsInf(ev.Units, 0) || ev.Patience <= 0 {
-		g.act(Reject{Request: ev.ID})
+	class, plan := g.classes[ev.Class], g.plans[ev.Plan]
+	if class == nil || plan == nil || !(ev.Units >= 0) || math.IsInf(ev.Units, 0) || ev.Timeout <= 0 {
+		g.emit(Reject{Request: ev.ID})
 		return
 	}
-	c := g.customer(ev, plan)
-	if !g.withinQuota(c, ev.Units) || !g.underCeiling(c, ev.Units) || !g.admitExcess(c, cl, ev.Units) {
-		g.act(Reject{ev.ID, g.untilQuota(c, ev.Units)})
+	c := g.customerFor(ev, plan)
+	if !g.withinQuota(c, ev.Units) || !g.withinCeiling(c, ev.Units) || !g.admitExcess(c, class, ev.Units) {
+		g.emit(Reject{ev.ID, g.retryAfterQuota(c, ev.Units)})
 		return
 	}
-	g.seq++
-	r := &request{id: ev.ID, seq: g.seq, class: cl, customer: c, units: ev.Units,
-		deadline: g.now + ev.Patience}
+	g.lastSeq++
+	r := &request{id: ev.ID, seq: g.lastSeq, class: class, customer: c, units: ev.Units,
+		deadline: g.now + ev.Timeout}
 	g.dequeue(c)
 	switch {
-	case len(c.queue) == 0 && g.underOpenLimit(c):
+	case len(c.queue) == 0 && g.withinInFlightLimit(c):
 		g.admit(r)
 	case !g.enqueue(r):
-		g.act(Reject{ev.ID, g.untilSlot()})
+		g.emit(Reject{ev.ID, g.retryAfterSlot()})
 	}
 }
 
-// admit gives a request that its quota has room for a slot and a backend, or refuses it at once.
+// admit sends a request that is within its customer's limits, if a backend is available and a slot of the
+// request's tier. Otherwise it rejects the request at once.
 func (g *Gateway) admit(r *request) {
 	c, plan := r.customer, r.customer.plan
-	worth := r.class.Worth * plan.Price * r.units
-	high := g.isHigh(worth)
-	t := &g.tiers[b2i(high)]
-	t.arrivals++
-	t.worth += worth
-	b := g.choose(r)
-	var s *slot
+	value := r.class.Value * plan.ValueFactor * r.units
+	highValue := g.isHighValue(value)
+	tier := &g.tiers[boolToInt(highValue)]
+	tier.arrivals++
+	tier.value += value
+	b := g.chooseBackend(r)
+	var slot *heldSlot
 	if b != nil {
-		s = g.takeSlot(high)
+		slot = g.takeSlot(highValue)
 	}
-	if s == nil {
-		g.act(Reject{r.id, g.untilSlot()})
+	if slot == nil {
+		g.emit(Reject{r.id, g.retryAfterSlot()})
 		g.end(r)
 		return
 	}
-	g.requests[r.id], g.bySeq[r.seq] = r, r
+	g.requests[r.id], g.requestsBySeq[r.seq] = r, r
 	c.ceilingLevel -= r.units
 	if plan.Rate > 0 {
-		if len(c.recentSends) == mostDraws { // no readings: the older half goes into the bucket
-			at := c.recentSends[mostDraws/2-1].at
-			c.bucket, c.bucketAt = c.bucketLevel(at), at
-			c.recentSends = slices.Delete(c.recentSends, 0, mostDraws/2)
+		if len(c.recentSends) == maxRecentSends { // the older half is merged into meteredLevel
+			at := c.recentSends[maxRecentSends/2-1].at
+			c.meteredLevel, c.meteredUntil = c.bucketLevel(at), at
+			c.recentSends = slices.Delete(c.recentSends, 0, maxRecentSends/2)
 		}
 		c.recentSends = append(c.recentSends, sentUnits{g.now, 100 * r.units / plan.Rate})
 	}
-	g.send(r, b, s)
-	r.class.first = append(r.class.first, r)
-	g.act(SetTimer{After: r.deadline - g.now, Token: r.seq})
+	g.send(r, b, slot)
+	r.class.firstAttempts = append(r.class.firstAttempts, r)
+	g.emit(SetTimer{After: r.deadline - g.now, Token: r.seq})
 }
 
-// isHigh compares a worth with the recent median.
-func (g *Gateway) isHigh(worth float64) bool {
-	if g.recentValues = append(g.recentValues, worth); len(g.recentValues) > medianOver {
+// isHighValue reports whether the value is above the recent median, and adds it to the values of the next
+// median.
+func (g *Gateway) isHighValue(value float64) bool {
+	if g.recentValues = append(g.recentValues, value); len(g.recentValues) > medianWindow {
 		g.recentValues = g.recentValues[1:]
 	}
-	return worth > g.medianValue
+	return value > g.medianValue
 }
--- a/internal/gateway/advice.go
+++ b/internal/gateway/advice.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// How long a refused client should stay away. A refusal is given at once, so this is all that keeps its next
-// try from meeting the same answer.
+// The Retry-After of rejected requests. Requests are rejected at once, so only this keeps the client retry of a
+// rejected request from being rejected for the same reason.
 
-// untilQuota is the time in which the customer's token bucket, and its part of the ceiling's, will have filled
-// enough for the units, if it asks for nothing else.
-func (g *Gateway) untilQuota(c *customer, units float64) time.Duration {
+// retryAfterQuota returns the time in which the customer's token bucket, and this gateway's share of the ceiling's,
+// will have refilled enough for the units, if the customer sends nothing else.
+func (g *Gateway) retryAfterQuota(c *customer, units float64) time.Duration {
 	wait := 0.0
 	if c.plan.Rate > 0 {
-		if c.bucket <= 0 && c.passShare < 1 {
-			return g.settings.MaxRetryAfter // the pass share must rise first, and it moves by the meter's readings
+		if c.meteredLevel <= 0 && c.passProbability < 1 {
+			return g.settings.MaxRetryAfter // passProbability must rise first, and changes only with the readings
 		}
-		steady, _ := c.otherUse(g.now)
-		wait = (c.neededLevel(units) - c.bucketLevel(g.now)) / max(1, 100-steady)
+		steadyPercent, _ := c.otherUse(g.now)
+		wait = (c.requiredLevel(units) - c.bucketLevel(g.now)) / max(1, 100-steadyPercent)
 	}
-	if !g.underCeiling(c, units) {
-		wait = max(wait, (units-c.ceilingLevel)*c.parts/c.plan.CeilingRate)
+	if !g.withinCeiling(c, units) {
+		wait = max(wait, (units-c.ceilingLevel)*c.ceilingShares/c.plan.CeilingRate)
 	}
-	if wait <= 0 { // a limit on attempts that are out: one must end
-		return g.untilSlot()
+	if wait <= 0 { // the limit on attempts in flight: one must end
+		return g.retryAfterSlot()
 	}
 	return seconds(min(wait, g.settings.MaxRetryAfter.Seconds()))
 }
 
-// untilSlot is the time in which what is out now will mostly have been answered.
-func (g *Gateway) untilSlot() time.Duration {
+// retryAfterSlot returns the time in which most of the attempts now in flight will have been answered.
+func (g *Gateway) retryAfterSlot() time.Duration {
 	return min(g.settings.MaxRetryAfter, seconds(g.meanLatency))
 }
 
-// neededLevel is what the bucket must hold for the units: more by the margin, but never more than a full one has.
-func (c *customer) neededLevel(units float64) float64 {
-	need, full := 100*units/c.plan.Rate, c.capacity()
-	return max(need, min(need+margin*full, full))
+// requiredLevel returns the level that the projected bucket must have for the units, in percent-seconds: a
+// bucketMargin more than they cost, but no more than a full bucket, unless they cost more than that.
+func (c *customer) requiredLevel(units float64) float64 {
+	needed, full := 100*units/c.plan.Rate, c.capacity()
+	return max(needed, min(needed+bucketMargin*full, full))
 }
--- a/internal/gateway/api.go
+++ b/internal/gateway/api.go
@@ -1,11 +1,12 @@
-// Package gateway makes the decisions of a gateway that holds every customer of a shared back end to its plan:
-// which requests go on, to which backend, when to try again, and when to refuse.
+// Package gateway makes the decisions of an HTTP gateway that enforces the plan of every customer of a shared back
+// end: which requests are admitted, to which backend each attempt is sent, when to retry, and when to reject.
 //
-// An embedding gateway creates one Gateway with New and passes it everything that happens, in order, by Handle; it
-// carries out the returned actions at once and in order. The package has no clock, does no I/O, holds no locks and
-// keeps no package state: two gateways given the same seed and events act alike. A Gateway is not safe for
-// concurrent use. All times are durations on one clock that only moves forward and whose origin does not matter.
-// The decisions are in the files that deploy/balancer.toml names as policy.
+// The embedding program creates one Gateway with New and passes every event to Handle in order. It carries out the
+// returned actions immediately and in order. The package reads no clock, does no I/O, takes no locks and has no global
+// state: two gateways that are given the same seed and events return the same actions. A Gateway is not safe for
+// concurrent use. All times are durations on one monotonic clock with an arbitrary origin.
+//
+// deploy/balancer.toml lists the files that contain decisions as policy.
 package gateway
 
 import (
@@ -16,216 +17,220 @@
 	"time"
 )
 
-// RequestID names one try of a client. An id is never used twice.
+// RequestID identifies one request of a client. A client retry is a new request with a new id; ids are never reused.
 type RequestID uint64
 
-// BackendID names a backend; a machine keeps its id when its process restarts.
+// BackendID identifies a backend. A machine keeps its id when its process restarts.
 type BackendID uint32
 
-// CustomerID names a customer.
+// CustomerID identifies a customer.
 type CustomerID uint64
 
-// Effect says what repeating a request of a class may do.
+// Effect says whether a request of a class may be repeated.
 type Effect uint8
 
-// The effects of a class.
+// The effects of the requests of a class.
 const (
-	Safe   Effect = iota // repeating it is harmless
-	Keyed                // backends of one group drop a repeat within the class's window
-	Unsafe               // it must not run twice
+	Safe         Effect = iota // may be repeated anywhere
+	Deduplicated               // the backends of one DedupScope drop repeats within the class's DedupWindow
+	Unsafe                     // must not run twice
 )
 
-// Group says which backends share the memory of keys already seen.
-type Group uint8
+// DedupScope says which backends share the record of request keys by which repeats are dropped.
+type DedupScope uint8
 
-// The groups of a keyed class.
+// The scopes of a Deduplicated class.
 const (
-	GroupAll  Group = iota // every backend
-	GroupZone              // the backends of one zone
-	GroupCell              // the backends of one cell
+	ScopeAll  DedupScope = iota // every backend
+	ScopeZone                   // the backends of one zone
+	ScopeCell                   // the backends of one cell
 )
 
-// Class describes one class of requests.
+// Class describes a class of requests.
 type Class struct {
-	Name      string
-	Effect    Effect
-	Group     Group
-	KeyWindow time.Duration // how long a keyed class's repeats are dropped, from the first try that may have run
-	Aim       time.Duration // an answer inside it earns the full worth
-	Deadline  time.Duration // the longest that a client waits over all its tries
-	Worth     float64
-	LateWorth float64 // the share of the worth that an answer past the aim earns
-	Stream    bool    // answers start (AnswerStarted) before they end
+	Name           string
+	Effect         Effect
+	Scope          DedupScope    // where repeats of a Deduplicated class are dropped
+	DedupWindow    time.Duration // how long repeats are dropped, from the first attempt that may have run
+	TargetLatency  time.Duration // an answer within this latency has the full value
+	Deadline       time.Duration // the longest that a client waits over a request and all its client retries
+	Value          float64       // value of one unit that is answered within TargetLatency
+	LateValueShare float64       // share of the value that an answer after TargetLatency has
+	Streaming      bool          // answers begin (AnswerStarted) before they end
 }
 
-// Plan is what customers have bought. Its figures hold for each customer over all gateways together.
+// Plan is what customers have bought. Its limits hold for each customer over all gateways together.
 type Plan struct {
-	Name         string
-	Rate         float64 // units a second; 0: no such quota
-	Burst        float64 // units that may be used at once
-	Open         int     // attempts that may be out at once; 0: no such quota
-	Price        float64 // multiplies the worth
-	OverWorth    float64 // share of its worth that a request sent on beyond the quota earns
-	OverCost     float64 // share of its worth that it costs
-	CeilingRate  float64 // the hard ceiling's refill, units a second; 0: no ceiling
-	CeilingBurst float64 // the hard ceiling's store, units
-	CeilingSlack float64 // how far that store may go below nothing
+	Name             string
+	Rate             float64 // quota: refill of the token bucket, units per second; 0: no such quota
+	Burst            float64 // quota: size of the token bucket, units
+	MaxInFlight      int     // quota: attempts that may be in flight at once; 0: no such quota
+	ValueFactor      float64 // factor on the value of the customer's requests
+	ExcessValueShare float64 // share of its value that a request admitted beyond the quota has
+	ExcessCostShare  float64 // share of its value that admitting a request beyond the quota costs
+	CeilingRate      float64 // hard ceiling: refill of its token bucket, units per second; 0: no ceiling
+	CeilingBurst     float64 // hard ceiling: size of its token bucket, units
+	CeilingSlack     float64 // hard ceiling: how far the bucket's level may fall below 0, units
 }
 
-// Settings are the facts that a gateway starts with.
+// Settings is the configuration of a gateway.
 type Settings struct {
-	Gateways      int // how many gateways share the back end
-	Me            int // this one's number among them, from 0
-	Zone          string
-	Classes       []Class
-	Plans         []Plan
-	MeterPeriod   time.Duration // the period over which the meter sums a customer's use; 0: no meter
-	LargestUnits  float64       // the most units that one request counts
-	MaxAttempts   int           // attempts allowed for one request
-	ParallelTries bool          // two attempts of a request may be out together
-	CanCancel     bool
-	CanProbe      bool
-	MaxRetryAfter time.Duration // the longest advice that clients follow; 0: they get none
-	AskForList    bool          // the list of backends must be subscribed to
-	ListLease     time.Duration // for how long a list that discovery has confirmed may be gone by; 0: for ever
-	LoadColumns   []string      // what a load report holds, in order
-	LoadInAnswers bool          // reports come in answers as well as in probe results
-	AnswerGrace   time.Duration // how long past a client's patience a final answer still counts
-	DrainGrace    time.Duration // how long sends to a draining backend may go on
-	ColdFrom      float64       // the least share of its capacity that a started backend has
-	WarmWithin    time.Duration // how long until it has all of it
-	FallMultiple  float64       // sent more than this multiple of its present capacity
-	FallFor       time.Duration // for this long, a cold backend falls over
+	Gateways         int // number of gateways that share the back end
+	Index            int // index of this gateway among them, from 0
+	Zone             string
+	Classes          []Class
+	Plans            []Plan
+	MeterPeriod      time.Duration // period over which the meter sums a customer's use; 0: no meter
+	MaxRequestUnits  float64       // the most units that one request may cost
+	MaxAttempts      int           // attempts allowed for one request
+	ParallelAttempts bool          // two attempts of a request may be in flight at once
+	CanCancel        bool          // attempts can be cancelled
+	CanProbe         bool          // backends can be probed
+	MaxRetryAfter    time.Duration // longest Retry-After that clients follow; 0: they follow none
+	SubscribeToList  bool          // updates of the list of backends are sent on subscription only
+	ListLease        time.Duration // how long a list is valid after discovery confirmed it; 0: forever
+	LoadColumns      []string      // columns of a load report, in order
+	LoadInAnswers    bool          // load reports come with answers as well as with probe results
+	AnswerGrace      time.Duration // how long after a client's timeout a final answer still counts
+	DrainGrace       time.Duration // how long attempts may still be sent to a draining backend
+	ColdCapacity     float64       // least share of its full capacity that a backend has when it has just started
+	WarmUpTime       time.Duration // time from its start until a backend has its full capacity
+	OverloadMultiple float64       // a cold backend that is sent more than this multiple of its present capacity
+	OverloadTime     time.Duration // for this long suffers an overload failure
 }
 
-// Validate tells what a gateway cannot work with.
+// Validate returns an error if a gateway cannot run with the settings.
 func (s Settings) Validate() error {
-	bad := func(least float64, vs ...float64) bool {
-		return slices.ContainsFunc(vs, func(v float64) bool { return !(v >= least) || math.IsInf(v, 0) })
+	invalid := func(minimum float64, values ...float64) bool {
+		return slices.ContainsFunc(values, func(v float64) bool { return !(v >= minimum) || math.IsInf(v, 0) })
 	}
 	if len(s.Classes) == 0 || len(s.Plans) == 0 || s.Gateways < 1 || s.MaxAttempts < 1 {
-		return errors.New("settings without classes, plans, front doors or attempts")
+		return errors.New("settings need at least one class, plan, gateway and attempt")
 	}
-	if bad(0, s.ColdFrom, s.FallMultiple, s.LargestUnits, float64(s.MeterPeriod), float64(s.WarmWithin)) {
-		return errors.New("settings with figures that are not numbers of 0 or more")
+	if invalid(0, s.ColdCapacity, s.OverloadMultiple, s.MaxRequestUnits, float64(s.MeterPeriod),
+		float64(s.WarmUpTime)) {
+		return errors.New("settings have a number that is negative or not finite")
 	}
-	for _, c := range s.Classes {
-		if c.Aim <= 0 || c.Deadline <= 0 || bad(0, c.Worth, c.LateWorth, float64(c.KeyWindow)) {
-			return fmt.Errorf("class %q needs an aim, a deadline and a worth", c.Name)
+	for _, class := range s.Classes {
+		if class.TargetLatency <= 0 || class.Deadline <= 0 ||
+			invalid(0, class.Value, class.LateValueShare, float64(class.DedupWindow)) {
+			return fmt.Errorf("class %q needs a target latency and a deadline above 0 and values of at least 0",
+				class.Name)
 		}
 	}
-	for _, p := range s.Plans {
-		if p.Rate <= 0 && p.Open <= 0 && p.CeilingRate <= 0 && p.Burst > 0 || p.Rate > 0 && p.Burst <= 0 ||
-			bad(0, p.Rate, p.Burst, p.Price, p.OverWorth, p.OverCost, p.CeilingRate, p.CeilingBurst, p.CeilingSlack,
-				float64(p.Open)) {
-			return fmt.Errorf("plan %q has a quota that cannot be kept", p.Name)
+	for _, plan := range s.Plans {
+		if plan.Rate <= 0 && plan.MaxInFlight <= 0 && plan.CeilingRate <= 0 && plan.Burst > 0 ||
+			plan.Rate > 0 && plan.Burst <= 0 ||
+			invalid(0, plan.Rate, plan.Burst, plan.ValueFactor, plan.ExcessValueShare, plan.ExcessCostShare,
+				plan.CeilingRate, plan.CeilingBurst, plan.CeilingSlack, float64(plan.MaxInFlight)) {
+			return fmt.Errorf("plan %q has a quota that cannot be enforced", plan.Name)
 		}
 	}
 	return nil
 }
 
-// Event is something that happened at this gateway.
+// Event is an input of a Gateway.
 type Event interface{ isEvent() }
 
-// Request is a client's request, which from now on is owed one final answer.
+// Request is a request of a client. Unless the client leaves, it must get exactly one final answer.
 type Request struct {
 	ID           RequestID
 	Customer     CustomerID
 	Class        string
 	Plan         string
-	Units        float64
-	Patience     time.Duration // how long this client waits for this try
-	FirstGateway int           // the first of the gateways that the customer uses
-	Spread       int           // how many gateways in a row it uses
+	Units        float64       // cost of the request in units of the quota
+	Timeout      time.Duration // how long the client waits for the answer to this request
+	FirstGateway int           // index of the first of the consecutive gateways that the customer uses
+	GatewayCount int           // number of gateways that the customer uses
 }
 
-// BackendState is what the list says of a backend.
+// BackendState is the state of a backend in the list of backends.
 type BackendState uint8
 
 // The states of a backend.
 const (
 	Ready    BackendState = iota
-	Draining              // it completes its work; nothing new may be sent
-	Gone                  // taken away
+	Draining              // completes its work; must not be sent anything new
+	Gone                  // removed from the list
 )
 
-// BackendInfo is one entry of the list of backends.
+// BackendInfo is an entry of the list of backends.
 type BackendInfo struct {
-	ID      BackendID
-	State   BackendState
-	Zone    string
-	Kind    string
-	Cell    int
-	Started time.Duration // when its process last started; 0: long ago
-	Weight  float64
+	ID          BackendID
+	State       BackendState
+	Zone        string
+	MachineType string
+	Cell        int
+	Started     time.Duration // when its process last started; 0: long ago
+	Weight      float64       // its relative capacity, as listed
 }
 
-// ListKind says what a list update holds.
+// ListKind says what an update of the list of backends contains.
 type ListKind uint8
 
 // The kinds of list updates.
 const (
-	ListChanges ListKind = iota // only what changed
-	ListFull                    // everything; what it lacks is gone
-	ListSaved                   // everything as last held before a restart; it may be stale
-	ListFailed                  // asking failed; the earlier list stays
+	ListChanges ListKind = iota // the changed entries only
+	ListFull                    // all entries; backends that are not among them are gone
+	ListSaved                   // all entries as saved before a restart; may be stale
+	ListFailed                  // the subscription failed; the previous list stays in use
 )
 
-// BackendList is news about the backends. One of changes that names none confirms the list that is held: nothing had
-// changed at that moment.
+// BackendList is an update of the list of backends. One of ListChanges without entries confirms the present list: at
+// that moment nothing had changed.
 type BackendList struct {
 	Kind     ListKind
 	Backends []BackendInfo
 }
 
-// Result is how an attempt or a probe ended.
+// Result says how an attempt or a probe ended.
 type Result uint8
 
 // The results. Rejected, NoConnection and NotSent prove that the attempt never ran.
 const (
-	Answered     Result = iota // served
-	AnsweredErr                // the backend answered with an error
-	Rejected                   // rejected unseen: full or draining
-	TimedOut                   // no answer in time
-	NoConnection               // no connection could be made
-	Broken                     // the connection broke while the attempt was out
-	Cancelled                  // cancelled by Cancel
-	NotSent                    // it never left this gateway
-	Unknown                    // not recognised; it may have run
+	Answered         Result = iota // served
+	AnsweredError                  // the backend answered with an error
+	Rejected                       // rejected by the backend without running: it is full or draining
+	TimedOut                       // no answer in time
+	NoConnection                   // no connection could be established
+	ConnectionBroken               // the connection broke while the attempt was in flight
+	Cancelled                      // ended by the action Cancel
+	NotSent                        // never left this gateway
+	Unknown                        // not recognised; the attempt may have run
 )
 
-// Outcome ends one attempt. Each Send gets exactly one.
+// Outcome reports the end of an attempt. Each Send gets exactly one.
 type Outcome struct {
-	Request RequestID
-	Backend BackendID
-	Attempt int // numbered from 0 in the order of the request's sends
-	Result  Result
-	Took    time.Duration
-	Final   bool // the request has ended; nothing more is owed
-	HasUse  bool
-	Use     float64 // the customer's use over all gateways in the last summed period, percent of its rate
-	Units   float64 // true units, where they are settled afterwards; else 0
-	Load    []float64
+	Request      RequestID
+	Backend      BackendID
+	Attempt      int // index of the attempt among the request's sends, from 0
+	Result       Result
+	Duration     time.Duration
+	Final        bool    // the request has ended and needs no final answer from the Gateway any more
+	HasUsage     bool    // UsagePercent is set
+	UsagePercent float64 // the customer's use over all gateways in the last metered period, percent of its rate
+	SettledUnits float64 // true cost in units, where it is settled after the request; else 0
+	Load         []float64
 }
 
-// AnswerStarted tells that a streamed answer has begun; the attempt now belongs to the client.
+// AnswerStarted reports that a streamed answer has begun. The attempt can no longer be replaced by another.
 type AnswerStarted struct {
 	Request RequestID
 	Attempt int
 }
 
-// ClientGone tells that the client of a request has left; nothing is owed any more.
+// ClientGone reports that the client of a request has left. The request needs no final answer any more.
 type ClientGone struct{ Request RequestID }
 
-// ProbeResult answers one Probe.
+// ProbeResult reports the result of one Probe.
 type ProbeResult struct {
-	Backend BackendID
-	Result  Result
-	Took    time.Duration
-	Load    []float64
+	Backend  BackendID
+	Result   Result
+	Duration time.Duration
+	Load     []float64
 }
 
-// Timer tells that a SetTimer has come due.
+// Timer reports that the timer with this token has expired.
 type Timer struct{ Token uint64 }
 
 func (Request) isEvent()       {}
@@ -236,42 +241,42 @@
 func (ProbeResult) isEvent()   {}
 func (Timer) isEvent()         {}
 
-// Action is something that the gateway must do, at once and in order.
+// Action is an output of a Gateway, to be carried out immediately and in order.
 type Action interface{ isAction() }
 
-// Send starts an attempt: a first try, a retry, or a hedge.
+// Send starts an attempt: the first one of a request, a retry, or a hedge.
 type Send struct {
-	Request RequestID
-	Backend BackendID
-	Timeout time.Duration // 0: until the client leaves
-	Within  time.Duration // an attempt that has not begun by then must not begin any more; 0: it may at any time
+	Request     RequestID
+	Backend     BackendID
+	Timeout     time.Duration // 0: the attempt may take until the client leaves
+	StartWithin time.Duration // an attempt that could not start within this time must not start; 0: no limit
 }
 
-// Reject is a final answer; it tells the client that trying again does no harm.
+// Reject is a final answer that tells the client that the request may safely be repeated.
 type Reject struct {
 	Request    RequestID
-	RetryAfter time.Duration // 0: no advice
+	RetryAfter time.Duration // 0: none is sent
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final answer that does not say whether the request ran.
 type Fail struct{ Request RequestID }
 
-// Cancel stops the wait for one attempt; its outcome still follows.
+// Cancel cancels an attempt. Its Outcome still follows.
 type Cancel struct {
 	Request RequestID
 	Attempt int
 }
 
-// SetTimer asks for a Timer event with the token.
+// SetTimer requests a Timer event with the token after the given time.
 type SetTimer struct {
 	After time.Duration
 	Token uint64
 }
 
-// Probe asks a backend for its load report.
+// Probe requests a load report from a backend.
 type Probe struct{ Backend BackendID }
 
-// Subscribe asks for changes of the list of backends.
+// Subscribe subscribes to updates of the list of backends.
 type Subscribe struct{}
 
 func (Send) isAction()      {}
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -4,63 +4,66 @@
 	"time"
 )
 
-// Attempts: what is sent, what their ends tell, further ones, and the final answer.
+// Attempts: sends, outcomes, retries and the final answer.
 
 const (
-	gain      = 1.0 / 16 // weight of one answer in the running means of latency
-	mostTries = 3        // attempts for one request at most, also where the settings allow more
+	latencyWeight = 1.0 / 16 // weight of one answer in the running means of latency
+	maxAttempts   = 3        // most attempts for one request, also where the settings allow more
 )
 
-func (g *Gateway) send(r *request, b *backend, s *slot) {
-	within := time.Duration(0)
-	if t := r.mayHaveRun(); t != nil && r.class.Effect == Keyed { // its connection may come up late
-		within = g.keyRemaining(r, t)
+// send sends an attempt of the request to the backend, in the given slot.
+func (g *Gateway) send(r *request, b *backend, slot *heldSlot) {
+	startWithin := time.Duration(0)
+	// Establishing a connection may take long, and a repeat must not start after the end of its DedupWindow.
+	if earlier := r.mayHaveRun(); earlier != nil && r.class.Effect == Deduplicated {
+		startWithin = g.dedupRemaining(r, earlier)
 	}
-	r.attempts = append(r.attempts, attempt{b: b, sent: g.now, open: true, slot: s})
+	r.attempts = append(r.attempts, attemptState{backend: b, sentAt: g.now, inFlight: true, slot: slot})
 	g.updateOverdue(b)
-	b.out++
+	b.inFlight++
 	b.tokens--
 	g.sends++
-	g.cancelBudget = min(mostSpare, g.cancelBudget+spareShare)
-	g.countOpen(r.customer, 1)
-	g.act(Send{Request: r.id, Backend: b.ID, Within: within})
+	g.cancelBudget = min(maxCancelBudget, g.cancelBudget+cancelBudgetPerSend)
+	g.addInFlight(r.customer, 1)
+	g.emit(Send{Request: r.id, Backend: b.ID, StartWithin: startWithin})
 }
 
+// onOutcome handles the end of an attempt: it retries the request or answers it, unless it has ended.
 func (g *Gateway) onOutcome(ev Outcome) {
 	r := g.requests[ev.Request]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].open {
+	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].inFlight {
 		return
 	}
-	t := &r.attempts[ev.Attempt]
-	t.open, t.result = false, ev.Result
-	g.learn(r, t, ev)
-	s := t.slot
-	t.b.out--
-	g.countOpen(r.customer, -1)
+	attempt := &r.attempts[ev.Attempt]
+	attempt.inFlight, attempt.result = false, ev.Result
+	g.recordOutcome(r, attempt, ev)
+	slot := attempt.slot
+	attempt.backend.inFlight--
+	g.addInFlight(r.customer, -1)
 	defer g.dequeue(r.customer)
-	if ev.HasUse {
-		g.learnUsage(r.customer, max(0, ev.Use)/100)
-		g.onReading(r.customer, max(0, ev.Use))
+	if ev.HasUsage {
+		g.learnUsage(r.customer, max(0, ev.UsagePercent)/100)
+		g.onReading(r.customer, max(0, ev.UsagePercent))
 	}
 	if ev.Final {
 		g.end(r)
 	}
-	if r.ended || r.streamed || !g.retry(r, s) {
-		g.freeSlot(s)
+	if r.ended || r.streamed || !g.retry(r, slot) {
+		g.freeSlot(slot)
 		if !r.ended && !r.streamed {
 			g.answerFinally(r)
 		}
 	}
-	g.drop(r)
+	g.forget(r)
 }
 
-// learn takes what an outcome tells of its backend and of the back end as a whole.
-func (g *Gateway) learn(r *request, t *attempt, ev Outcome) {
-	b, took := t.b, ev.Took.Seconds()
+// recordOutcome updates the statistics of the backend, the class and the gateway after an attempt has ended.
+func (g *Gateway) recordOutcome(r *request, attempt *attemptState, ev Outcome) {
+	b, latency := attempt.backend, ev.Duration.Seconds()
 	g.updateOverdue(b)
-	g.proveFresh(t)
-	late := ev.Result == TimedOut || ev.Result == Answered && took > r.class.late()
-	if ev.Result != Cancelled && ev.Result != NotSent && !t.countedLate {
+	g.updateConfirmation(attempt)
+	late := ev.Result == TimedOut || ev.Result == Answered && latency > r.class.lateAge()
+	if ev.Result != Cancelled && ev.Result != NotSent && !attempt.countedLate {
 		g.outcomes++
 		if late || ev.Result == Rejected {
 			g.badOutcomes++
@@ -68,73 +71,76 @@
 		}
 	}
 	switch ev.Result {
-	case AnsweredErr, Unknown: // the backend said something
+	case AnsweredError, Unknown: // the backend is not silent
 		b.overdue = 0
 	case Answered:
-		b.overdue, b.unreached, b.outliers = 0, 0, 0
-		g.answerTime += r.class.late()
-		r.class.latency += gain * (took - r.class.latency)
-		r.class.bestLatency = min(r.class.latency, r.class.bestLatency*(1+gain*gain/4))
-		g.meanLatency += gain * (took - g.meanLatency)
-		g.bestLatency = min(g.meanLatency, g.bestLatency*(1+gain*gain/4))
-		b.slow += 2 * gain * (took/r.class.latency - b.slow)
-	case TimedOut, Cancelled: // it would have taken as long, unless it was dead
-		if t.superseded {
+		b.overdue, b.connectFailures, b.outlierCount = 0, 0, 0
+		g.lateAgeSum += r.class.lateAge()
+		r.class.meanLatency += latencyWeight * (latency - r.class.meanLatency)
+		r.class.minLatency = min(r.class.meanLatency, r.class.minLatency*(1+latencyWeight*latencyWeight/4))
+		g.meanLatency += latencyWeight * (latency - g.meanLatency)
+		g.minLatency = min(g.meanLatency, g.minLatency*(1+latencyWeight*latencyWeight/4))
+		b.slowness += 2 * latencyWeight * (latency/r.class.meanLatency - b.slowness)
+	case TimedOut, Cancelled: // an answer would have taken at least as long, unless the backend is dead
+		if attempt.superseded {
 			g.markOutlier(b)
 			break
 		}
-		b.slow += 2 * gain * max(0, min(took/r.class.latency, deadAfter)-b.slow)
+		b.slowness += 2 * latencyWeight *
+			max(0, min(latency/r.class.meanLatency, cancelAfterLatencies)-b.slowness)
 	case Rejected:
-		b.overdue, b.holdUntil = 0, g.now+seconds(g.meanLatency/2)
+		b.overdue, b.backoffUntil = 0, g.now+seconds(g.meanLatency/2)
 	case NoConnection:
-		g.noConnection(b)
+		g.onConnectFailure(b)
 	}
-	b.slow = max(b.slow, 0.1)
+	b.slowness = max(b.slowness, 0.1)
 }
 
-// retry sends a request whose attempts have all failed once more, in the slot of the last, if the client can
-// still be answered in time. It needs no budget of its own: N bounds all that is out.
-func (g *Gateway) retry(r *request, s *slot) bool {
-	tooLate := (r.deadline - g.now).Seconds() < r.class.latency/2
-	if tooLate || len(r.attempts) >= min(g.settings.MaxAttempts, mostTries) {
+// retry sends a further attempt of a request whose attempts have all failed, in the slot of the last one, and
+// reports whether it did. It does so only if the client can still be answered in time. It needs no retry
+// budget of its own, as the concurrency limit bounds all attempts in flight.
+func (g *Gateway) retry(r *request, slot *heldSlot) bool {
+	tooLate := (r.deadline - g.now).Seconds() < r.class.meanLatency/2
+	if tooLate || len(r.attempts) >= min(g.settings.MaxAttempts, maxAttempts) {
 		return false
 	}
-	b := g.choose(r)
+	b := g.chooseBackend(r)
 	if b != nil {
-		g.send(r, b, s)
+		g.send(r, b, slot)
 	}
 	return b != nil
 }
 
-// answerFinally gives the final answer to a request that was not served: a refusal where that is true to
-// rule 2.
+// answerFinally gives the final answer to a request that was not served: Reject if repeating the request does
+// no harm, else Fail.
 func (g *Gateway) answerFinally(r *request) {
-	t := r.mayHaveRun()
-	if t == nil || r.class.Effect == Safe ||
-		r.class.Effect == Keyed && r.class.Group == GroupAll && g.now-t.sent < r.class.KeyWindow {
-		g.act(Reject{r.id, g.untilSlot()})
+	attempt := r.mayHaveRun()
+	if attempt == nil || r.class.Effect == Safe ||
+		r.class.Effect == Deduplicated && r.class.Scope == ScopeAll &&
+			g.now-attempt.sentAt < r.class.DedupWindow {
+		g.emit(Reject{r.id, g.retryAfterSlot()})
 	} else {
-		g.act(Fail{Request: r.id})
+		g.emit(Fail{Request: r.id})
 	}
 	g.end(r)
 }
 
-// end stops all that goes on for a request. Its attempts keep their slots until their outcomes come.
+// end ends a request and cancels its attempt in flight. Attempts keep their slots until their outcomes come.
 func (g *Gateway) end(r *request) {
 	if r == nil || r.ended {
 		return
 	}
 	r.ended, r.queued = true, false
-	if r.out() && g.settings.CanCancel {
-		g.act(Cancel{Request: r.id, Attempt: len(r.attempts) - 1})
+	if r.inFlight() && g.settings.CanCancel {
+		g.emit(Cancel{Request: r.id, Attempt: len(r.attempts) - 1})
 	}
-	g.drop(r)
+	g.forget(r)
 }
 
-// drop forgets a request once nothing of it is left.
-func (g *Gateway) drop(r *request) {
-	if r.ended && !r.out() {
+// forget deletes a request that has ended and has no attempt in flight.
+func (g *Gateway) forget(r *request) {
+	if r.ended && !r.inFlight() {
 		delete(g.requests, r.id)
-		delete(g.bySeq, r.seq)
+		delete(g.requestsBySeq, r.seq)
 	}
 }
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -17,12 +17,12 @@
 		{"once", Rejected, 0, true, 0, 0},
 		{"once", NoConnection, 0, true, 0, 0},
 		{"once", TimedOut, 0, false, 0, 1},
-		{"once", AnsweredErr, 0, false, 0, 1},
+		{"once", AnsweredError, 0, false, 0, 1},
 		{"once", Unknown, 0, false, 0, 1},
-		{"keyed", Broken, 0, true, 0, 0},
-		{"keyed", Broken, 4 * second, false, 0, 1},
-		{"celled", Broken, 0, false, 0, 1}, // the other backend is in another cell
-		{"zoned", Broken, 0, false, 0, 1},
+		{"keyed", ConnectionBroken, 0, true, 0, 0},
+		{"keyed", ConnectionBroken, 4 * second, false, 0, 1},
+		{"celled", ConnectionBroken, 0, false, 0, 1}, // the other backend is in another cell
+		{"zoned", ConnectionBroken, 0, false, 0, 1},
 		{"celled", Rejected, 0, true, 0, 0},
 	} {
 		r := newRig(t, testSettings(), fleet(2)...)
@@ -34,7 +34,7 @@
 		if got := sends(as); (len(got) == 1) != c.resend || refused != c.refused || failed != c.failed {
 			t.Errorf("%s after %d: sends %v, refused %d, failed %d", c.class, c.first, got, refused, failed)
 		}
-		if held(r.g) != b2i(c.resend) {
+		if held(r.g) != boolToInt(c.resend) {
 			t.Errorf("%s: %d slots held", c.class, held(r.g))
 		}
 	}
@@ -47,18 +47,18 @@
 		class  string
 		first  Result
 		within bool
-	}{{"keyed", Broken, true}, {"keyed", NoConnection, false}, {"safe", Broken, false}} {
+	}{{"keyed", ConnectionBroken, true}, {"keyed", NoConnection, false}, {"safe", ConnectionBroken, false}} {
 		s := testSettings()
 		s.AnswerGrace = 8 * ms
 		r := newRig(t, s, fleet(2)...)
 		id, as := r.ask(c.class, "wide", 1)
-		if first := sends(as)[0]; first.Within != 0 {
-			t.Errorf("%s: a first attempt within %v", c.class, first.Within)
+		if first := sends(as)[0]; first.StartWithin != 0 {
+			t.Errorf("%s: a first attempt within %v", c.class, first.StartWithin)
 		}
 		r.now += second
 		as = r.outcome(id, sends(as)[0].Backend, 0, c.first)
-		want := time.Duration(b2i(c.within)) * (r.g.classes[c.class].KeyWindow - second - 8*ms)
-		if got := sends(as); len(got) != 1 || got[0].Within != want {
+		want := time.Duration(boolToInt(c.within)) * (r.g.classes[c.class].DedupWindow - second - 8*ms)
+		if got := sends(as); len(got) != 1 || got[0].StartWithin != want {
 			t.Errorf("%s after %d: %+v, want it within %v", c.class, c.first, got, want)
 		}
 	}
@@ -74,7 +74,7 @@
 		if len(sends(as)) != 1 {
 			t.Fatalf("attempt %d: %v", n, as)
 		}
-		as = r.outcome(id, sends(as)[0].Backend, n, AnsweredErr)
+		as = r.outcome(id, sends(as)[0].Backend, n, AnsweredError)
 	}
 	if n, _ := finals(as); n != 1 || len(sends(as)) != 0 {
 		t.Errorf("after the third: %v", as)
@@ -86,14 +86,14 @@
 	s.MaxAttempts = 2
 	r := newRig(t, s, fleet(3)...)
 	id, as := r.ask("safe", "wide", 1)
-	as = r.outcome(id, sends(as)[0].Backend, 0, AnsweredErr)
-	as = r.outcome(id, sends(as)[0].Backend, 1, AnsweredErr)
+	as = r.outcome(id, sends(as)[0].Backend, 0, AnsweredError)
+	as = r.outcome(id, sends(as)[0].Backend, 1, AnsweredError)
 	if n, _ := finals(as); n != 1 || len(sends(as)) != 0 {
 		t.Errorf("after the last attempt: %v", as)
 	}
 	id, as = r.ask("safe", "wide", 1)
 	r.now += 6*second - 10*ms
-	as = r.outcome(id, sends(as)[0].Backend, 0, AnsweredErr)
+	as = r.outcome(id, sends(as)[0].Backend, 0, AnsweredError)
 	if n, _ := finals(as); n != 1 || len(sends(as)) != 0 {
 		t.Errorf("a retry that cannot be answered in time: %v", as)
 	}
@@ -105,7 +105,7 @@
 		id, as := r.ask(class, "wide", 1)
 		b := sends(as)[0].Backend
 		r.now += 6 * second
-		as = r.do(Timer{Token: r.g.seq})
+		as = r.do(Timer{Token: r.g.lastSeq})
 		refused, failed := finals(as)
 		if refused+failed != 1 || (failed == 1) != wantFail {
 			t.Errorf("%s: refused %d failed %d", class, refused, failed)
@@ -125,7 +125,7 @@
 	if as = r.do(Timer{Token: 0}); len(sends(as)) != 0 {
 		t.Fatalf("a second attempt beside the first: %v", as)
 	}
-	as = r.outcome(id, first.Backend, 0, Broken)
+	as = r.outcome(id, first.Backend, 0, ConnectionBroken)
 	if got := sends(as); len(got) != 1 || got[0].Backend == first.Backend {
 		t.Errorf("no second try elsewhere: %v", as)
 	}
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -10,9 +10,9 @@
 // requests a second and with the ticks between them.
 func BenchmarkRequest(b *testing.B) {
 	set := testSettings()
-	set.Gateways, set.MeterPeriod, set.LargestUnits = 300, 500*ms, 8
-	set.Plans = []Plan{{Name: "basic", Rate: 1.6, Burst: 16, Price: 0.55, OverCost: 1},
-		{Name: "estate", Rate: 28, Burst: 50, Price: 1.8, OverCost: 0.8, Open: 3, CeilingRate: 60, CeilingBurst: 105}}
+	set.Gateways, set.MeterPeriod, set.MaxRequestUnits = 300, 500*ms, 8
+	set.Plans = []Plan{{Name: "basic", Rate: 1.6, Burst: 16, ValueFactor: 0.55, ExcessCostShare: 1},
+		{Name: "estate", Rate: 28, Burst: 50, ValueFactor: 1.8, ExcessCostShare: 0.8, MaxInFlight: 3, CeilingRate: 60, CeilingBurst: 105}}
 	g, err := New(set, 1, time.Hour)
 	if err != nil {
 		b.Fatal(err)
@@ -32,11 +32,11 @@
 		plan, spread := set.Plans[n%2].Name, 200-194*(n%2)
 		id := RequestID(n + 1)
 		actions = g.Handle(now, Request{ID: id, Customer: CustomerID(rng.IntN(3000)), Class: "safe", Plan: plan,
-			Units: 1 + float64(rng.IntN(6)), Patience: 3 * second, Spread: spread}, actions[:0])
+			Units: 1 + float64(rng.IntN(6)), Timeout: 3 * second, GatewayCount: spread}, actions[:0])
 		for _, a := range actions {
 			if s, ok := a.(Send); ok {
-				g.Handle(now+50*ms, Outcome{Request: id, Backend: s.Backend, Result: Answered, Took: 50 * ms, Final: true,
-					HasUse: true, Use: 200 * rng.Float64()}, nil)
+				g.Handle(now+50*ms, Outcome{Request: id, Backend: s.Backend, Result: Answered, Duration: 50 * ms, Final: true,
+					HasUsage: true, UsagePercent: 200 * rng.Float64()}, nil)
 			}
 		}
 	}
--- a/internal/gateway/ceiling.go
+++ b/internal/gateway/ceiling.go
@@ -7,87 +7,92 @@
 	"herontiller/internal/shares"
 )
 
-// The hard limits of a customer over all of its gateways: the ceiling's bucket and the attempts out. Both are split
-// into parts that add up to the whole, so that they hold whatever the other gateways do.
+// The hard limits of a customer over all of its gateways: the ceiling's token bucket and the attempts in flight. Each
+// is split into shares that add up to the whole, so that it holds whatever the other gateways do.
 
 const (
-	holdAim      = 1.0 / 2 // of its aim is as long as a request is held for one of its customer's attempts to end
-	holdPatience = 1.0 / 4 // ... and of what its client waits: time to come again elsewhere remains
-	spareOpen    = 1.0     // seconds of attempts out that a gateway with a part of one saves up at most
+	maxQueueTargetShare  = 1.0 / 2 // longest time in the queue, as a share of the class's target latency
+	maxQueueTimeoutShare = 1.0 / 4 // the same, as a share of the client's remaining time, which must allow a retry
+	maxInFlightCredit    = 1.0     // most time in flight that a gateway with a share below one saves up, seconds
 )
 
-// newLimits takes all to have been used up when this gateway started, as before a restart it may have been.
+// newLimits returns the limits of a customer of the plan. It assumes that all of them were used up when this gateway
+// started, as they may have been before a restart.
 func (g *Gateway) newLimits(plan *Plan, set shares.Set) limits {
-	parts := set.Buckets(plan.CeilingBurst, g.settings.LargestUnits)
-	return limits{usage: g.usageOf(plan), admitted: 1, parts: float64(parts), hasCeilingPart: set.Among(parts),
-		ceilingAt: g.startedAt, openLimit: set.Whole(plan.Open), openAt: g.startedAt}
+	shareCount := set.Buckets(plan.CeilingBurst, g.settings.MaxRequestUnits)
+	return limits{usage: g.planUsageOf(plan), admissionProbability: 1, ceilingShares: float64(shareCount),
+		hasCeilingShare: set.Among(shareCount), ceilingLevelAt: g.startedAt,
+		inFlightLimit: set.Whole(plan.MaxInFlight), inFlightCreditAt: g.startedAt}
 }
 
-// underCeiling keeps this gateway's part of the customer's second token bucket: an even part, so that all parts
-// together are the whole. A customer not met since this gateway's start is taken to have used its part up just
-// then, as before a restart it may have. A gateway without a part sends nothing.
-func (g *Gateway) underCeiling(c *customer, units float64) bool {
+// withinCeiling refills this gateway's share of the token bucket of the customer's ceiling and reports whether it
+// holds enough for the units. The shares are equal, so that together they are the whole. For a customer that is new
+// since this gateway's start, the share is taken to have been empty at the start, as before a restart it may have been
+// used up. A gateway without a share sends nothing.
+func (g *Gateway) withinCeiling(c *customer, units float64) bool {
 	if c.plan.CeilingRate <= 0 {
 		return true
 	}
-	refill := c.plan.CeilingRate * (g.now - c.ceilingAt).Seconds()
-	c.ceilingLevel = min(c.plan.CeilingBurst, c.ceilingLevel*c.parts+refill) / c.parts
-	c.ceilingAt = g.now
-	return c.hasCeilingPart && c.ceilingLevel >= units+c.queuedUnits()
+	refill := c.plan.CeilingRate * (g.now - c.ceilingLevelAt).Seconds()
+	c.ceilingLevel = min(c.plan.CeilingBurst, c.ceilingLevel*c.ceilingShares+refill) / c.ceilingShares
+	c.ceilingLevelAt = g.now
+	return c.hasCeilingShare && c.ceilingLevel >= units+c.queuedUnits()
 }
 
-// underOpenLimit tells whether a further attempt may be out for the customer. Where there are fewer attempts than
-// gateways, to give them to some of the gateways would leave the rest with none, and to them most of the customer's
-// requests may come. A gateway whose part is less than one attempt is granted that part of each second: it has one
-// out for that share of the time at most, on average over spareOpen or more, so that all gateways together have no
-// more out than the limit on average. What it had out before a restart is not known, so a gateway begins with
-// nothing saved up.
-func (g *Gateway) underOpenLimit(c *customer) bool {
-	if c.plan.Open <= 0 {
+// withinInFlightLimit reports whether a further attempt may be in flight for the customer. If the limit is lower than
+// the number of gateways, giving whole attempts to some gateways would leave the others with none, and most of the
+// customer's requests may come to those. So a gateway whose share is less than one attempt may have one in flight for
+// that share of the time, averaged over maxInFlightCredit or more, and all gateways together have no more in flight
+// than the limit on average. A gateway starts without credit, as the attempts in flight before a restart are not
+// known.
+func (g *Gateway) withinInFlightLimit(c *customer) bool {
+	if c.plan.MaxInFlight <= 0 {
 		return true
 	}
-	g.countOpen(c, 0)
-	return c.open < c.openLimit && (float64(c.plan.Open) >= c.gateways || c.openCredit >= 0)
+	g.addInFlight(c, 0)
+	return c.inFlight < c.inFlightLimit && (float64(c.plan.MaxInFlight) >= c.gateways || c.inFlightCredit >= 0)
 }
 
-// countOpen counts a change of the customer's attempts out here, and the time that they took until now.
-func (g *Gateway) countOpen(c *customer, by int) {
-	part := float64(c.plan.Open) / c.gateways
-	c.openCredit = min(spareOpen, c.openCredit+(part-float64(c.open))*(g.now-c.openAt).Seconds())
-	c.openAt = g.now
-	c.open += by
+// addInFlight adds delta to the customer's attempts in flight, after charging their time until now to inFlightCredit.
+func (g *Gateway) addInFlight(c *customer, delta int) {
+	share := float64(c.plan.MaxInFlight) / c.gateways
+	c.inFlightCredit = min(maxInFlightCredit,
+		c.inFlightCredit+(share-float64(c.inFlight))*(g.now-c.inFlightCreditAt).Seconds())
+	c.inFlightCreditAt = g.now
+	c.inFlight += delta
 }
 
-// queuedUnits is the units that wait in the queue.
+// queuedUnits returns the sum of the units of the queued requests.
 func (c *customer) queuedUnits() float64 {
 	sum := 0.0
 	for _, r := range c.queue {
-		sum += float64(b2i(r.queued)) * r.units
+		sum += float64(boolToInt(r.queued)) * r.units
 	}
 	return sum
 }
 
-// enqueue holds a request whose customer has room in its quota but an attempt too many out here, if by the mean
-// latency one ends soon enough. A part of one attempt is taken for a moment by each request, and the next one comes
-// a moment too early as often as the customer is busy here. It is a wait for something that is about to come, not a
-// rejection held back: what will not come in time is rejected at once.
+// enqueue queues a request whose customer is within its quota but at its limit of attempts in flight, and reports
+// whether it did. It does so only if by the mean latency an attempt will end soon enough: with a share of less than
+// one attempt, each request uses up the credit for a moment, and a busy customer's next one often comes a moment too
+// early. A request that could not be sent in time is rejected at once, without waiting.
 func (g *Gateway) enqueue(r *request) bool {
 	c := r.customer
 	c.queue = slices.DeleteFunc(c.queue, func(r *request) bool { return !r.queued })
-	most := min(holdAim*r.class.Aim.Seconds(), holdPatience*(r.deadline-g.now).Seconds())
-	if c.openLimit == 0 || float64(len(c.queue)+1)*g.meanLatency/float64(c.openLimit) > most {
+	maxWait := min(maxQueueTargetShare*r.class.TargetLatency.Seconds(),
+		maxQueueTimeoutShare*(r.deadline-g.now).Seconds())
+	if c.inFlightLimit == 0 || float64(len(c.queue)+1)*g.meanLatency/float64(c.inFlightLimit) > maxWait {
 		return false
 	}
 	r.queued = true
 	c.queue = append(c.queue, r)
-	g.requests[r.id], g.bySeq[r.seq] = r, r
-	g.act(SetTimer{After: seconds(most).Truncate(time.Microsecond), Token: r.seq})
+	g.requests[r.id], g.requestsBySeq[r.seq] = r, r
+	g.emit(SetTimer{After: seconds(maxWait).Truncate(time.Microsecond), Token: r.seq})
 	return true
 }
 
-// dequeue lets in from the customer's line what there is room for again.
+// dequeue admits requests from the customer's queue while its limit of attempts in flight allows it.
 func (g *Gateway) dequeue(c *customer) {
-	for len(c.queue) > 0 && g.underOpenLimit(c) {
+	for len(c.queue) > 0 && g.withinInFlightLimit(c) {
 		r := c.queue[0]
 		c.queue[0], c.queue = nil, c.queue[1:]
 		if r.queued {
--- a/internal/gateway/ceiling_test.go
+++ b/internal/gateway/ceiling_test.go
@@ -25,7 +25,7 @@
 	if k := passed(10); k != 2 {
 		t.Errorf("%d passed a second later, want half of 4", k)
 	}
-	s.Me, s.Gateways = 3, 4
+	s.Index, s.Gateways = 3, 4
 	r = newRig(t, s, fleet(2)...)
 	r.now += 100 * second
 	if k := passed(3); k != 0 {
@@ -50,7 +50,7 @@
 // refused long before its client gives up.
 func TestRequestsWaitForAnAttemptToEnd(t *testing.T) {
 	s := testSettings()
-	s.Plans[3].Open = 2 // one at each gateway
+	s.Plans[3].MaxInFlight = 2 // one at each gateway
 	r := newRig(t, s, fleet(3)...)
 	r.g.meanLatency = 0.6 // seconds
 	one, as := r.ask("safe", "open", 3)
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -18,12 +18,12 @@
 // and by chance 2 x root of N + 2 more.
 func (w *coldWindow) send(now time.Duration, s Settings, capacity float64) {
 	w.sent = append(w.sent, now)
-	for now-w.sent[0] > s.FallFor {
+	for now-w.sent[0] > s.OverloadTime {
 		w.sent = w.sent[1:]
 	}
 	age := (w.sent[0] - w.born).Seconds()
-	warmth := min(1, s.ColdFrom+(1-s.ColdFrom)*age/s.WarmWithin.Seconds())
-	n := s.FallMultiple * warmth * capacity * s.FallFor.Seconds()
+	warmth := min(1, s.ColdCapacity+(1-s.ColdCapacity)*age/s.WarmUpTime.Seconds())
+	n := s.OverloadMultiple * warmth * capacity * s.OverloadTime.Seconds()
 	w.worst = max(w.worst, float64(len(w.sent))-(n+2*math.Sqrt(n)+2))
 }
 
@@ -44,15 +44,15 @@
 		{30, 24, 12, 0.65, 3, 1500 * ms, 0.19}, {350, 120, 60, 0.6, 3, 1500 * ms, 0.19}, {350, 100, 60, 0.5, 2, 2500 * ms, 0.25},
 	} {
 		set := testSettings()
-		set.Gateways, set.ColdFrom, set.WarmWithin = c.doors, c.coldFrom, 12*second
-		set.FallMultiple, set.FallFor = c.multiple, c.window
+		set.Gateways, set.ColdCapacity, set.WarmUpTime = c.doors, c.coldFrom, 12*second
+		set.OverloadMultiple, set.OverloadTime = c.multiple, c.window
 		for seed := range uint64(3) {
 			f := newFleet(t, set, seed, c.backends)
 			f.fails = 0.1
 			rate := c.busy * capacity * float64(c.backends)
 			ask := func() (int, Request) {
 				return f.unevenly(0, c.doors), Request{Customer: CustomerID(f.rng.IntN(5000)), Class: "safe", Plan: "wide", Units: 1,
-					Patience: 3 * second, Spread: c.doors}
+					Timeout: 3 * second, GatewayCount: c.doors}
 			}
 			f.runUntil(f.now+6*second, rate, ask)
 			windows := map[BackendID]*coldWindow{}
--- a/internal/gateway/concurrency.go
+++ b/internal/gateway/concurrency.go
@@ -4,74 +4,85 @@
 	"math"
 )
 
-// N, the limit on the attempts out at once.
+// The concurrency limit N: how many attempts may be in flight at once.
 
 const (
-	badShare = 0.05    // the design: more bad outcomes than this in a second press N down
-	cutTo    = 0.9     // the design: to this multiple of the attempts out
-	growBy   = 1.1     // the design: other seconds grow N by a tenth
-	lateAt   = 0.5     // an attempt older than this share of its class's aim counts as timed out for N
-	lateBase = 6.0     // ... or older than this multiple of its class's latency at its best
-	minEnded = 20      // attempts that 5 in 100 is counted over at least
-	byChance = 3.0     // standard deviations over 5 in 100 that a second's bad outcomes reach by chance
-	slowest  = 1.0 / 4 // least weight of a second in N's means: the noise of one of 300 gateways evens out
+	badOutcomeShare      = 0.05    // share of bad outcomes above which N is lowered, by the design
+	decreaseFactor       = 0.9     // N is lowered to this multiple of the attempts in flight, by the design
+	increaseFactor       = 1.1     // N is raised by this factor in any other second, by the design
+	lateTargetShare      = 0.5     // an attempt older than this share of its target latency counts as late
+	lateLatencyFactor    = 6.0     // so does one older than this multiple of the minimum latency of its class
+	minOutcomes          = 20      // least number of outcomes that badOutcomeShare is applied to
+	badOutcomeDeviations = 3.0     // standard deviations above badOutcomeShare that can occur by chance
+	minMeanWeight        = 1.0 / 4 // least weight of a second; the noise of 300 gateways cancels out
 )
 
-// late is the age from which an attempt counts as timed out for N.
-func (c *class) late() float64 { return min(lateAt*c.Aim.Seconds(), lateBase*c.bestLatency) }
+// lateAge returns the age in seconds from which an attempt counts as timed out for the concurrency limit.
+func (c *classState) lateAge() float64 {
+	return min(lateTargetShare*c.TargetLatency.Seconds(), lateLatencyFactor*c.minLatency)
+}
 
-// adjustLimit is the design's rule for N, once a second, with exceptions. An attempt older than lateAt of its
-// class's aim, or than lateBase times the class's best latency, counts as timed out, ended or still out: the
-// client's own time-out comes only when the queues hold nothing but work that nobody waits for. Sub-rated
-// attempts count as the slots they were squeezed from, else each lifts the next cut. Bad outcomes press only
-// when spread over many backends. N stays between half of what a second's answers can carry without being
-// late and all of it: by Little's law what is beyond must be late. At many gateways a second holds an
-// attempt or two: means fade over seconds, and N grows only if something has ended since its cut. What
-// presses must lie byChance over 5 in 100, as of a few dozen outcomes more are often bad by chance.
+// adjustLimit adjusts the concurrency limit N once a second. By the design's rule, N is lowered by
+// decreaseFactor if more than badOutcomeShare of the outcomes are bad, and else raised by increaseFactor. The
+// exceptions are:
+//
+//   - An attempt older than lateAge counts as timed out, whether it has ended or is still in flight. The
+//     client's own timeout comes only when the backends' queues hold only work that no client waits for.
+//   - Sub-rated attempts count as the reduced slots that they occupy, else each of them would raise the limit
+//     that the next decrease starts from.
+//   - Bad outcomes lower N only if they are spread over many backends.
+//   - N stays between one half and the whole of sustainableLimit, the attempts in flight that a second's
+//     answers can sustain without being late: by Little's law, any beyond it must be late.
+//   - In a fleet of many gateways, each has an attempt or two in a second. So the counts are decaying sums
+//     over seconds, and N is raised only if an attempt has ended since it was last lowered.
+//   - Bad outcomes must exceed their share by badOutcomeDeviations standard deviations, as of a few dozen
+//     outcomes more than the share are often bad by chance.
 func (g *Gateway) adjustLimit() {
-	weight := max(slowest, min(0.5, g.sendRate/minEnded))
-	sick, ready := 0, g.ranking.Len()-g.unavailable.Len()
-	for _, r := range g.requests { // counts only: the order reaches no action
+	weight := max(minMeanWeight, min(0.5, g.sendRate/minOutcomes))
+	affectedBackends, readyBackends := 0, g.ranking.Len()-g.unavailable.Len()
+	for _, r := range g.requests { // only counts, so the random order of the map has no effect
 		for i := range r.attempts {
-			if t := &r.attempts[i]; t.open && !t.countedLate && (g.now-t.sent).Seconds() > r.class.late() {
-				t.b.lastBadAt, t.countedLate = g.now, true
+			if attempt := &r.attempts[i]; attempt.inFlight && !attempt.countedLate &&
+				(g.now-attempt.sentAt).Seconds() > r.class.lateAge() {
+				attempt.backend.lastBadAt, attempt.countedLate = g.now, true
 				g.outcomes++
 				g.badOutcomes++
 			}
 		}
 	}
 	for b := range g.ranking.All() {
-		sick += b2i(b.lastBadAt > 0 && g.now-b.lastBadAt < seconds(0.5/weight))
+		affectedBackends += boolToInt(b.lastBadAt > 0 && g.now-b.lastBadAt < seconds(0.5/weight))
 	}
-	first := min(0.5, 1/max(1, g.ticks)) // its first counts weigh more
-	g.sustainable += max(weight, first) * (g.answerTime - g.sustainable)
-	g.answerTime = 0
-	floor := max(float64(max(1, ready))/float64(g.settings.Gateways), g.sustainable/2)
-	spread := float64(sick) > min(g.badOutcomes/2, float64(ready)/3)
-	usual := badShare * max(g.outcomes, minEnded)
-	pressed := spread && g.badOutcomes > min(usual+byChance*math.Sqrt(usual), g.outcomes/2)
-	told := g.outcomes > 0
+	firstWeight := min(0.5, 1/max(1, g.ticks)) // the first seconds have more weight
+	g.sustainableLimit += max(weight, firstWeight) * (g.lateAgeSum - g.sustainableLimit)
+	g.lateAgeSum = 0
+	minLimit := max(float64(max(1, readyBackends))/float64(g.settings.Gateways), g.sustainableLimit/2)
+	widespread := float64(affectedBackends) > min(g.badOutcomes/2, float64(readyBackends)/3)
+	expectedBad := badOutcomeShare * max(g.outcomes, minOutcomes)
+	overloaded := widespread &&
+		g.badOutcomes > min(expectedBad+badOutcomeDeviations*math.Sqrt(expectedBad), g.outcomes/2)
+	hasOutcomes := g.outcomes > 0
 	g.outcomes, g.badOutcomes = g.outcomes*(1-2*weight), g.badOutcomes*(1-2*weight)
-	g.average()
-	old := g.limit
-	if pressed {
+	g.updateMeanInUse()
+	oldLimit := g.concurrencyLimit
+	if overloaded {
 		g.outcomes, g.badOutcomes = 0, 0
 		inUse := g.meanInUse[highReserve] + g.meanInUse[lowReserve] + g.meanInUse[sharedPool]
-		g.limit = cutTo * min(g.limit, inUse)
-	} else if told {
-		g.limit *= growBy
+		g.concurrencyLimit = decreaseFactor * min(g.concurrencyLimit, inUse)
+	} else if hasOutcomes {
+		g.concurrencyLimit *= increaseFactor
 	}
-	if g.sustainable > 0 {
-		g.limit = min(g.limit, g.sustainable)
+	if g.sustainableLimit > 0 {
+		g.concurrencyLimit = min(g.concurrencyLimit, g.sustainableLimit)
 	}
-	if g.limit = max(g.limit, floor); g.limit == old {
+	if g.concurrencyLimit = max(g.concurrencyLimit, minLimit); g.concurrencyLimit == oldLimit {
 		return
 	}
-	if math.IsInf(old, 1) || math.IsInf(g.limit, 1) {
-		g.split()
-	} else { // between re-splits the reserves keep their shares of N
-		for p := range g.partSize {
-			g.partSize[p] *= g.limit / old
+	if math.IsInf(oldLimit, 1) || math.IsInf(g.concurrencyLimit, 1) {
+		g.applySplit()
+	} else { // until the next split, the partitions keep their shares of N
+		for partition := range g.partitionSize {
+			g.partitionSize[partition] *= g.concurrencyLimit / oldLimit
 		}
 	}
 }
--- a/internal/gateway/concurrency_test.go
+++ b/internal/gateway/concurrency_test.go
@@ -10,14 +10,14 @@
 	press := func(n, bad, ended float64, sick int, flow float64) float64 {
 		r := newRig(t, testSettings(), fleet(3)...)
 		g := r.g
-		g.limit, g.partSize, g.outcomes, g.badOutcomes = n, [3]float64{0, 0, n}, ended, bad
+		g.concurrencyLimit, g.partitionSize, g.outcomes, g.badOutcomes = n, [3]float64{0, 0, n}, ended, bad
 		g.inUse[sharedPool], g.sendRate = 50, 50 // many sends: a second is weighed by a half
-		g.sustainable, g.answerTime = flow, flow
+		g.sustainableLimit, g.lateAgeSum = flow, flow
 		for _, b := range slices.Collect(g.ranking.All())[:sick] {
 			b.lastBadAt = g.now
 		}
 		g.adjustLimit()
-		return g.limit
+		return g.concurrencyLimit
 	}
 	inf := math.Inf(1)
 	for _, c := range []struct {
@@ -54,10 +54,10 @@
 	g := r.g
 	const aims = 3.0
 	for second, least := range []float64{0.5, 0.75, 0.83, 0.87} {
-		g.sends, g.answerTime, g.outcomes = 5, aims, 5
+		g.sends, g.lateAgeSum, g.outcomes = 5, aims, 5
 		g.onTimer(0)
-		if g.sustainable < least*aims-0.01 || g.sustainable > aims {
-			t.Errorf("after %d s a flow of %v is taken to be %v, want %v of it at least", second+1, aims, g.sustainable, least)
+		if g.sustainableLimit < least*aims-0.01 || g.sustainableLimit > aims {
+			t.Errorf("after %d s a flow of %v is taken to be %v, want %v of it at least", second+1, aims, g.sustainableLimit, least)
 		}
 	}
 }
@@ -66,13 +66,13 @@
 func TestSubratedAttemptsDoNotLiftN(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(3)...)
 	g := r.g
-	g.limit, g.partSize, g.marked, g.outcomes, g.badOutcomes, g.sustainable = 100, [3]float64{0, 0, 100}, 60, 100, 50, 180
+	g.concurrencyLimit, g.partitionSize, g.markedCount, g.outcomes, g.badOutcomes, g.sustainableLimit = 100, [3]float64{0, 0, 100}, 60, 100, 50, 180
 	g.inUse[sharedPool] = 130
 	for b := range g.ranking.All() {
 		b.lastBadAt = g.now
 	}
-	if g.adjustLimit(); g.limit != 90 {
-		t.Errorf("N %v, want 90", g.limit)
+	if g.adjustLimit(); g.concurrencyLimit != 90 {
+		t.Errorf("N %v, want 90", g.concurrencyLimit)
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 	r.now += 1100 * ms
 	r.do(Timer{Token: 0})
-	if math.IsInf(r.g.limit, 1) {
+	if math.IsInf(r.g.concurrencyLimit, 1) {
 		t.Error("N stayed unbounded with 30 attempts past half their aim")
 	}
 }
@@ -101,18 +101,18 @@
 	}
 	r.now += 300 * ms // nothing is late yet
 	r.do(Timer{Token: 0})
-	if r.g.limit > 30 {
-		t.Errorf("N %v after a second with 30 answers and 200 attempts out", r.g.limit)
+	if r.g.concurrencyLimit > 30 {
+		t.Errorf("N %v after a second with 30 answers and 200 attempts out", r.g.concurrencyLimit)
 	}
 }
 
 func TestLateIsMeasuredByTheBestLatencyToo(t *testing.T) {
-	c := class{Class: Class{Aim: 4 * second}, bestLatency: 0.1}
-	if got := c.late(); math.Abs(got-lateBase*0.1) > 1e-9 {
-		t.Errorf("late from %v s, want %v times the best latency", got, lateBase)
+	c := classState{Class: Class{TargetLatency: 4 * second}, minLatency: 0.1}
+	if got := c.lateAge(); math.Abs(got-lateLatencyFactor*0.1) > 1e-9 {
+		t.Errorf("late from %v s, want %v times the best latency", got, lateLatencyFactor)
 	}
-	if c.bestLatency = 3; c.late() != 2 {
-		t.Errorf("late from %v s, want half the aim", c.late())
+	if c.minLatency = 3; c.lateAge() != 2 {
+		t.Errorf("late from %v s, want half the aim", c.lateAge())
 	}
 }
 
@@ -131,12 +131,12 @@
 		r.now += second
 		for _, as := range out[max(0, len(out)-21):max(0, len(out)-18)] {
 			for _, a := range sends(as) {
-				r.do(Outcome{Request: a.Request, Backend: a.Backend, Result: TimedOut, Took: 6 * second, Final: true})
+				r.do(Outcome{Request: a.Request, Backend: a.Backend, Result: TimedOut, Duration: 6 * second, Final: true})
 			}
 		}
 		r.do(Timer{Token: 0})
 	}
-	if r.g.limit > 1.5 || r.g.limit < 60.0/600 {
-		t.Errorf("N %v after 90 s without an answer, want about one", r.g.limit)
+	if r.g.concurrencyLimit > 1.5 || r.g.concurrencyLimit < 60.0/600 {
+		t.Errorf("N %v after 90 s without an answer, want about one", r.g.concurrencyLimit)
 	}
 }
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -4,23 +4,23 @@
 	"time"
 )
 
-// Events in, actions out. No decision is made here.
+// Dispatch of events to their handlers. No decisions are made here.
 
-// Handle takes one event and appends what must be done about it.
+// Handle handles an event at the time now and returns actions with the resulting actions appended.
 func (g *Gateway) Handle(now time.Duration, ev Event, actions []Action) []Action {
 	g.now, g.actions = max(now, g.now), actions
-	if !g.started {
-		g.started = true
-		g.act(SetTimer{After: second, Token: 0})
-		if g.settings.AskForList {
-			g.act(Subscribe{})
+	if !g.initialized {
+		g.initialized = true
+		g.emit(SetTimer{After: second, Token: 0})
+		if g.settings.SubscribeToList {
+			g.emit(Subscribe{})
 		}
 	}
 	switch ev := ev.(type) {
 	case Request:
 		g.onRequest(ev)
 	case BackendList:
-		g.onList(ev)
+		g.onBackendList(ev)
 	case Outcome:
 		g.onOutcome(ev)
 	case AnswerStarted:
@@ -37,21 +37,25 @@
 	return actions
 }
 
-func (g *Gateway) act(a Action) { g.actions = append(g.actions, a) }
+// emit appends an action to those that Handle returns.
+func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
-// onTimer: token 0 is the second's tick; others name a request whose client now gives up.
+// onTimer handles a timer. Token 0 is the tick of every second. Any other token is the seq of a request, whose time in
+// the queue or whose client's timeout is over.
 func (g *Gateway) onTimer(token uint64) {
 	if token == 0 {
 		g.tick()
-	} else if r := g.bySeq[token]; r != nil && !r.ended && !r.streamed &&
-		(r.queued || g.now+time.Millisecond >= r.deadline) { // not by a timer from when it was held
+	} else if r := g.requestsBySeq[token]; r != nil && !r.ended && !r.streamed &&
+		(r.queued || g.now+time.Millisecond >= r.deadline) { // ignores the queue timer of a request sent since
 		g.answerFinally(r)
 	}
 }
 
+// seconds converts seconds to a Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(second)) }
 
-func b2i(b bool) int {
+// boolToInt returns 1 for true and 0 for false.
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/internal/gateway/excess.go
+++ b/internal/gateway/excess.go
@@ -6,87 +6,95 @@
 	"herontiller/internal/budget"
 )
 
-// What is sent on beyond quotas has a price, and is held to a budget. Each request is admitted with a probability
-// that goes by its value and by its expected excess, at a shadow price that rises and falls with what is spent.
+// Requests beyond the quotas have a price and are held to a budget. Each request is admitted with a probability that
+// depends on its value and its expected excess, at a shadow price that rises and falls with what has been spent.
 
 const (
-	excessBudget   = 0.07 // of the worth asked inside quotas is the price that is aimed at: 0.1 is allowed
-	leastClass     = 0.50 // of what a class asks within quotas is admitted, whatever the price: a half is wanted
-	leastPlan      = 0.30 // of the clients of a plan of whose customer nothing is known are: a third is wanted
-	firstPrice     = 4.0  // the shadow price at the start
-	leastPrice     = 1.0  // ... and its bounds: below 1 more is lost beyond quotas than won inside them
-	mostPrice      = 100.0
-	priceStep      = 2.0        // factor that the price of a class that had too little rises by in a second
-	mostOffers     = 128        // latest requests that it is worked out from
-	offersFor      = 8 * second // ... and their age at most
-	returnFades    = 0.1        // weight of a second in the share of the clients that come again
-	classFades     = 1.0 / 64   // weight of a request in the admitted share of its class
-	sameGateway    = 0.5        // share of the clients that come again through the same gateway
-	mostReturn     = 0.75       // of those refused come again: three times each, where few are admitted
-	guessedReturns = 5.0        // requests refused that the share that comes again is counted over at least
+	excessBudget          = 0.07 // target cost of excess, as a share of the value requested within quotas; 0.1 allowed
+	minClassAdmission     = 0.50 // least admitted share of a class's value within quotas; a half is required
+	minUnknownAdmission   = 0.30 // least admitted share of the clients of unknown customers; a third is required
+	initialPrice          = 4.0  // shadow price at the start
+	minPrice              = 1.0  // least shadow price; below it more is lost beyond the quotas than gained within them
+	maxPrice              = 100.0
+	classPriceStep        = 2.0        // most by which the price of a class grows in a second, as a factor
+	maxOffers             = 128        // latest requests from which the price is computed
+	maxOfferAge           = 8 * second // age up to which they are used
+	retryDecay            = 0.1        // weight of a second in the share of the client retries
+	classWeight           = 1.0 / 64   // weight of a request in the admitted share of its class
+	sameGatewayRetryShare = 0.5        // share of the client retries that come through the same gateway
+	maxRetryShare         = 0.75       // most rejected requests that are retried: if few are admitted, three times each
+	minRejections         = 5.0        // least rejected requests that the share of client retries is computed over
 )
 
-// admitExcess tells whether a request goes on though it may be beyond the quota: surely where its expected value is
-// at least its expected price, less often the less it is, and of customers of whom nothing is known a share in any
-// case.
-func (g *Gateway) admitExcess(c *customer, cl *class, units float64) bool {
+// admitExcess reports whether a request is admitted though it may be beyond the quota. The admission is certain if its
+// expected value is at least its expected price, and less probable the lower the value is. Of the customers of whom
+// nothing is known a minimum share is admitted in any case.
+func (g *Gateway) admitExcess(c *customer, class *classState, units float64) bool {
 	plan, usage := c.plan, c.usage
-	returns := g.retryShare(c, cl, units)
-	unknown := c.meteredFor == 0 && len(c.arrivals) == 0
-	use := g.useOf(c)
-	c.arrived(g.now)
-	usage.units += unitsFade * (units - usage.units)
-	usage.squares += unitsFade * (units*units - usage.squares)
-	beyond, worth := g.excess(c, &use, units), cl.Worth*plan.Price*units
-	offer := budget.Offer{At: g.now, Value: worth * (1 - beyond + beyond*plan.OverWorth),
-		Cost: worth * beyond * plan.OverCost,
-		Base: worth * usage.use.ShareWithin(usageGrid, eventually(usage.admitted, returns))}
+	retryShare := g.retryShare(c, class, units)
+	unknown := c.meteredTime == 0 && len(c.recentArrivals) == 0
+	utilization := g.utilizationOf(c)
+	c.recordArrival(g.now)
+	usage.meanUnits += requestWeight * (units - usage.meanUnits)
+	usage.meanSquaredUnits += requestWeight * (units*units - usage.meanSquaredUnits)
+	excess, value := g.excessProbability(c, &utilization, units), class.Value*plan.ValueFactor*units
+	offer := budget.Offer{At: g.now, Value: value * (1 - excess + excess*plan.ExcessValueShare),
+		Cost: value * excess * plan.ExcessCostShare,
+		Base: value * usage.utilization.ShareWithin(utilizationGrid,
+			eventualAdmission(usage.meanAdmission, retryShare))}
 	if unknown {
-		offer.Least = leastPlan * (1 - returns) / (1 - leastPlan*returns) // of the clients, who may come again
+		// minUnknownAdmission is a share of the clients, each of which may retry.
+		offer.Least = minUnknownAdmission * (1 - retryShare) / (1 - minUnknownAdmission*retryShare)
 	}
-	g.price.requests++
-	g.price.offers.Add(offer)
-	p := offer.Admission(cl.shadowPrice)
-	inside := worth * (1 - beyond)
-	cl.admitted += eventually(p, returns)*inside - classFades*cl.admitted
-	cl.asked += inside - classFades*cl.asked
-	usage.admitted += unitsFade * (p - usage.admitted)
-	c.admitted = p
-	if p < 1 && g.rng.Float64() >= p {
-		g.price.rejected++
-		c.refused, c.refusedSize, c.refusedAt = cl, units, g.now
+	g.pricing.requests++
+	g.pricing.offers.Add(offer)
+	probability := offer.Admission(class.shadowPrice)
+	valueWithinQuota := value * (1 - excess)
+	class.admittedValue += eventualAdmission(probability, retryShare)*valueWithinQuota - classWeight*class.admittedValue
+	class.requestedValue += valueWithinQuota - classWeight*class.requestedValue
+	usage.meanAdmission += requestWeight * (probability - usage.meanAdmission)
+	c.admissionProbability = probability
+	if probability < 1 && g.rng.Float64() >= probability {
+		g.pricing.rejected++
+		c.rejectedClass, c.rejectedUnits, c.rejectedAt = class, units, g.now
 		return false
 	}
 	return true
 }
 
-// eventually is the probability that a client is admitted at last, where each of its requests is with the
-// probability p and it comes again with another.
-func eventually(p, returns float64) float64 { return p / (1 - (1-p)*returns) }
+// eventualAdmission returns the probability that a client is admitted in the end, if each of its requests is admitted
+// with the given probability and a rejected one is retried with the probability retryShare.
+func eventualAdmission(probability, retryShare float64) float64 {
+	return probability / (1 - (1-probability)*retryShare)
+}
 
-// retryShare is the share of the rejected requests whose clients come again, here or elsewhere, with a like request
-// soon after. What a rejection here advises is mostly the time of an answer.
-func (g *Gateway) retryShare(c *customer, cl *class, units float64) float64 {
-	if c.refused == cl && c.refusedSize == units && g.now-c.refusedAt < second {
-		g.price.returned++
+// retryShare records whether a request is the client retry of one that was rejected, and returns the share of the
+// rejected requests that are retried, through this gateway or another. Client retries are recognised by their class
+// and units and by coming within a second, as the Retry-After of a rejection is mostly the latency of one answer.
+func (g *Gateway) retryShare(c *customer, class *classState, units float64) float64 {
+	if c.rejectedClass == class && c.rejectedUnits == units && g.now-c.rejectedAt < second {
+		g.pricing.retried++
 	}
-	c.refused = nil
-	return min(mostReturn, g.price.returned/(g.price.rejected+guessedReturns)/sameGateway)
+	c.rejectedClass = nil
+	return min(maxRetryShare, g.pricing.retried/(g.pricing.rejected+minRejections)/sameGatewayRetryShare)
 }
 
-// adjustPrice sets the shadow price to that at which the latest requests would have spent the budget. A class of
-// which too little is admitted has a lower one.
+// adjustPrice moves the shadow price towards the one at which the latest requests would have spent the budget. A class
+// of which less than minClassAdmission is admitted has a lower price.
 func (g *Gateway) adjustPrice() {
-	e := &g.price
-	first := 1 - min(mostReturn, e.returned/max(1, e.requests)/sameGateway) // of the requests: clients' first
-	e.shadow = math.Sqrt(e.shadow * e.offers.Price(g.now-offersFor, first*excessBudget, leastPrice, mostPrice))
-	for _, cl := range g.byClass {
-		if cl.asked > 0 {
-			share := cl.admitted / cl.asked / leastClass
-			cl.shadowPrice = max(1/mostPrice, min(e.shadow, cl.shadowPrice*min(priceStep, share*share)))
+	pricing := &g.pricing
+	// firstRequestShare is the share of the requests that are not client retries.
+	firstRequestShare := 1 - min(maxRetryShare, pricing.retried/max(1, pricing.requests)/sameGatewayRetryShare)
+	pricing.shadowPrice = math.Sqrt(pricing.shadowPrice *
+		pricing.offers.Price(g.now-maxOfferAge, firstRequestShare*excessBudget, minPrice, maxPrice))
+	for _, class := range g.orderedClasses {
+		if class.requestedValue > 0 {
+			relativeAdmission := class.admittedValue / class.requestedValue / minClassAdmission
+			class.shadowPrice = max(1/maxPrice,
+				min(pricing.shadowPrice, class.shadowPrice*min(classPriceStep, relativeAdmission*relativeAdmission)))
 		}
 	}
-	for _, sum := range []*float64{&e.requests, &e.rejected, &e.returned} {
-		*sum *= 1 - returnFades
+	for _, sum := range []*float64{&pricing.requests, &pricing.rejected, &pricing.retried} {
+		*sum *= 1 - retryDecay
 	}
 }
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -76,7 +76,7 @@
 			f.onEnd(f.reqs[o.Request])
 		}
 	}
-	f.set.Me = door
+	f.set.Index = door
 	g, err := New(f.set, f.rng.Uint64(), f.now)
 	if err != nil {
 		f.t.Fatal(err)
@@ -95,9 +95,9 @@
 			f.tries[a.Request]++
 			f.onSend(r, a.Backend, n == 0)
 			took := seconds(meanWork.Seconds() * f.rng.ExpFloat64())
-			out := Outcome{Request: a.Request, Backend: a.Backend, Attempt: n, Result: Answered, Took: took, Final: true}
+			out := Outcome{Request: a.Request, Backend: a.Backend, Attempt: n, Result: Answered, Duration: took, Final: true}
 			if f.fails > 0 && f.rng.Float64() < f.fails {
-				out.Result, out.Final = AnsweredErr, false
+				out.Result, out.Final = AnsweredError, false
 			}
 			f.after(took, door, out)
 		case Reject:
@@ -125,7 +125,7 @@
 			if o, ok := e.ev.(Outcome); ok {
 				f.onEnd(f.reqs[o.Request])
 				if f.use != nil {
-					o.Use, o.HasUse = f.use(f.reqs[o.Request].Customer)
+					o.UsagePercent, o.HasUsage = f.use(f.reqs[o.Request].Customer)
 				}
 				e.ev = o
 			}
@@ -166,8 +166,8 @@
 	}{{2, 3, 60, 8, 20}, {4, 3, 64, 8, 20}, {4, 2, 64, 8, 20}, {3, 4, 60, 8, 20}, {5, 7, 80, 8, 20}, {20, 3, 8, 1, 20},
 		{30, 2, 8, 2, 20}, {12, 40, 20, 8, 20}, {20, 3, 400, 1, 400}, {30, 2, 800, 2, 400}, {15, 4, 240, 8, 400}} {
 		set := testSettings()
-		set.Gateways, set.LargestUnits = 30, c.most
-		p := Plan{Name: "estate", Rate: c.rate, Burst: c.burst / 2, Price: 1, Open: c.open, CeilingRate: 2 * c.rate, CeilingBurst: c.burst,
+		set.Gateways, set.MaxRequestUnits = 30, c.most
+		p := Plan{Name: "estate", Rate: c.rate, Burst: c.burst / 2, ValueFactor: 1, MaxInFlight: c.open, CeilingRate: 2 * c.rate, CeilingBurst: c.burst,
 			CeilingSlack: c.most}
 		set.Plans = append(set.Plans, p)
 		for seed := range uint64(3) {
@@ -205,7 +205,7 @@
 				i := f.rng.IntN(customers)
 				first := 7 * i
 				return f.unevenly(first, c.spread), Request{Customer: CustomerID(i), Class: "safe", Plan: p.Name,
-					Units: 1 + float64(f.rng.IntN(int(c.most))), Patience: 3 * second, FirstGateway: first, Spread: c.spread}
+					Units: 1 + float64(f.rng.IntN(int(c.most))), Timeout: 3 * second, FirstGateway: first, GatewayCount: c.spread}
 			}
 			for range int(length) {
 				f.runUntil(f.now+second, 200, ask)
@@ -235,12 +235,12 @@
 	const doors, backends, replaced, perDoor = 150, 90, 45, 10.0
 	const capacity = 20.0 // attempts a second of a warm backend: two cores and meanWork; the fleet asks for 83 in 100 of it
 	set := testSettings()
-	set.Gateways, set.ColdFrom, set.WarmWithin, set.FallMultiple, set.FallFor = doors, 0.19, 15*second, 3, 1500*ms
+	set.Gateways, set.ColdCapacity, set.WarmUpTime, set.OverloadMultiple, set.OverloadTime = doors, 0.19, 15*second, 3, 1500*ms
 	for seed := range uint64(3) {
 		f := newFleet(t, set, seed, backends)
 		ask := func() (int, Request) {
 			return f.unevenly(0, doors), Request{Customer: CustomerID(f.rng.IntN(5000)), Class: "safe", Plan: "wide", Units: 1,
-				Patience: 3 * second, Spread: doors}
+				Timeout: 3 * second, GatewayCount: doors}
 		}
 		f.runUntil(f.now+8*second, doors*perDoor, ask)
 		born := f.now
@@ -260,12 +260,12 @@
 		worst := 0.0
 		for b := 1; b <= replaced; b++ {
 			for i, from := 0, 0; i < len(sent[b]); i++ {
-				for sent[b][i]-sent[b][from] > set.FallFor {
+				for sent[b][i]-sent[b][from] > set.OverloadTime {
 					from++
 				}
 				age := (sent[b][from] - born).Seconds()
-				warmth := set.ColdFrom + (1-set.ColdFrom)*age/set.WarmWithin.Seconds()
-				worst = max(worst, float64(i-from+1)/(set.FallMultiple*warmth*capacity*set.FallFor.Seconds()))
+				warmth := set.ColdCapacity + (1-set.ColdCapacity)*age/set.WarmUpTime.Seconds()
+				worst = max(worst, float64(i-from+1)/(set.OverloadMultiple*warmth*capacity*set.OverloadTime.Seconds()))
 			}
 		}
 		t.Logf("seed %d: at most %.2f of what makes a cold backend fall", seed, worst)
@@ -280,8 +280,8 @@
 func TestAllDoorsKeepTheQuota(t *testing.T) {
 	const doors, late, length = 8, 700 * ms, 30.0
 	set := testSettings()
-	set.Gateways, set.MeterPeriod, set.LargestUnits = doors, 500*ms, 2
-	p := Plan{Name: "business", Rate: 12, Burst: 24, Price: 1}
+	set.Gateways, set.MeterPeriod, set.MaxRequestUnits = doors, 500*ms, 2
+	p := Plan{Name: "business", Rate: 12, Burst: 24, ValueFactor: 1}
 	set.Plans = append(set.Plans, p)
 	for seed := range uint64(3) {
 		f := newFleet(t, set, seed, 20)
@@ -298,7 +298,7 @@
 		}
 		ask := func() (int, Request) {
 			return f.unevenly(0, doors), Request{Customer: 1, Class: "safe", Plan: p.Name, Units: 1 + float64(f.rng.IntN(2)),
-				Patience: 3 * second, Spread: doors}
+				Timeout: 3 * second, GatewayCount: doors}
 		}
 		f.runUntil(f.now+seconds(length), 5*p.Rate, ask)
 		may := p.Burst + p.Rate*length
@@ -316,8 +316,8 @@
 func TestManyDoorsSendLittleBeyondTheQuota(t *testing.T) {
 	const doors, late, length, heavy, calm = 150, 700 * ms, 30.0, 4, 12
 	set := testSettings()
-	set.Gateways, set.MeterPeriod, set.LargestUnits = doors, 500*ms, 8
-	p := Plan{Name: "basic", Rate: 4, Burst: 16, Price: 1, OverCost: 1}
+	set.Gateways, set.MeterPeriod, set.MaxRequestUnits = doors, 500*ms, 8
+	p := Plan{Name: "basic", Rate: 4, Burst: 16, ValueFactor: 1, ExcessCostShare: 1}
 	set.Plans = append(set.Plans, p)
 	large := 0.0
 	for seed := range uint64(5) {
@@ -343,7 +343,7 @@
 			sent += r.Units
 			if r.Customer >= heavy {
 				calmSent += r.Units
-				largeSent += float64(b2i(r.Units >= 6))
+				largeSent += float64(boolToInt(r.Units >= 6))
 			}
 			if c.store < r.Units {
 				beyond += r.Units
@@ -367,10 +367,10 @@
 			units := min(8, 1+math.Floor(f.rng.ExpFloat64()*1.5))
 			if id >= heavy {
 				calmAsked += units
-				largeAsked += float64(b2i(units >= 6))
+				largeAsked += float64(boolToInt(units >= 6))
 			}
 			return f.unevenly(0, doors), Request{Customer: id, Class: "safe", Plan: p.Name, Units: units,
-				Patience: 3 * second, Spread: doors}
+				Timeout: 3 * second, GatewayCount: doors}
 		}
 		const meanUnits = 2.0
 		f.runUntil(f.now+seconds(length), (heavy*heavyRate+calm*calmRate)*p.Rate/meanUnits, ask)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -10,54 +10,59 @@
 	"herontiller/internal/stats"
 )
 
-// The start of a gateway, and what it does once a second.
+// The start of a gateway, and its work once a second.
 
 const (
-	second     = time.Second
-	splitEvery = 5 * second  // the design's re-split
-	idleForget = time.Minute // the design's time to forget an idle customer
+	second           = time.Second
+	splitInterval    = 5 * second  // between splits of the slots, by the design
+	customerIdleTime = time.Minute // after which an idle customer is deleted, by the design
 )
 
-// New starts a gateway. It knows no backends until the first BackendList.
-func New(set Settings, seed uint64, now time.Duration) (*Gateway, error) {
-	if err := set.Validate(); err != nil {
+// New returns a gateway that starts at the time now. It knows no backends until the first BackendList. It
+// returns an error if the settings are invalid.
+func New(settings Settings, seed uint64, now time.Duration) (*Gateway, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
-	g := &Gateway{settings: set, rng: rand.New(rand.NewPCG(seed, 0)), now: now, startedAt: now,
-		classes: map[string]*class{}, plans: map[string]*Plan{}, backends: map[BackendID]*backend{},
-		requests: map[RequestID]*request{}, bySeq: map[uint64]*request{},
-		customers: map[CustomerID]*customer{}, limit: math.Inf(1), splitAt: now, sendRate: minEnded}
-	for _, c := range set.Classes {
-		guess := c.Aim.Seconds() / 4
-		cl := &class{Class: c, latency: guess, bestLatency: guess, shadowPrice: firstPrice}
-		g.classes[c.Name], g.byClass = cl, append(g.byClass, cl)
-		g.meanLatency += c.Aim.Seconds() / 4 / float64(len(set.Classes))
+	g := &Gateway{settings: settings, rng: rand.New(rand.NewPCG(seed, 0)), now: now, startedAt: now,
+		classes: map[string]*classState{}, plans: map[string]*Plan{}, backends: map[BackendID]*backend{},
+		requests: map[RequestID]*request{}, requestsBySeq: map[uint64]*request{},
+		customers: map[CustomerID]*customer{}, concurrencyLimit: math.Inf(1), lastSplitAt: now,
+		sendRate: minOutcomes}
+	for _, spec := range settings.Classes {
+		initialLatency := spec.TargetLatency.Seconds() / 4
+		class := &classState{Class: spec, meanLatency: initialLatency, minLatency: initialLatency,
+			shadowPrice: initialPrice}
+		g.classes[spec.Name], g.orderedClasses = class, append(g.orderedClasses, class)
+		g.meanLatency += spec.TargetLatency.Seconds() / 4 / float64(len(settings.Classes))
 	}
-	for i := range set.Plans {
-		g.plans[set.Plans[i].Name] = &set.Plans[i]
+	for i := range settings.Plans {
+		g.plans[settings.Plans[i].Name] = &settings.Plans[i]
 	}
-	g.partSize[sharedPool], g.bestLatency, g.usage = math.Inf(1), g.meanLatency, map[*Plan]*planUsage{}
-	g.population = stats.NewPopulation(priorUsage, mostSamples)
-	g.price = excessPrice{shadow: firstPrice, offers: budget.NewLedger(mostOffers)}
+	g.partitionSize[sharedPool], g.minLatency, g.planUsages = math.Inf(1), g.meanLatency,
+		map[*Plan]*planUsage{}
+	g.population = stats.NewPopulation(priorUtilization, maxSamples)
+	g.pricing = excessPricing{shadowPrice: initialPrice, offers: budget.NewLedger(maxOffers)}
 	return g, nil
 }
 
+// tick does the work of each second.
 func (g *Gateway) tick() {
-	g.act(SetTimer{After: second, Token: 0})
+	g.emit(SetTimer{After: second, Token: 0})
 	g.ticks++
-	g.sendRate += max(0.5, 1/g.ticks) * (g.sends - g.sendRate) // the first count replaces what was guessed
+	g.sendRate += max(0.5, 1/g.ticks) * (g.sends - g.sendRate) // the first count replaces the initial guess
 	g.sends = 0
 	if sorted := slices.Sorted(slices.Values(g.recentValues)); len(sorted) > 0 {
 		g.medianValue = sorted[len(sorted)/2]
 	}
 	g.adjustLimit()
-	g.population.Estimate(priorReadings, refineRounds)
+	g.population.Estimate(priorSamples, emRounds)
 	g.adjustPrice()
-	if g.now-g.splitAt >= splitEvery {
+	if g.now-g.lastSplitAt >= splitInterval {
 		g.resplit()
 	}
-	for id, c := range g.customers { // deletes only: the order reaches no action
-		if c.open == 0 && g.now-c.seen > idleForget {
+	for id, c := range g.customers { // only deletes, so the random order of the map has no effect
+		if c.inFlight == 0 && g.now-c.lastSeen > customerIdleTime {
 			delete(g.customers, id)
 		}
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -15,14 +15,14 @@
 		"no plans":        func(s *Settings) { s.Plans = nil },
 		"no front doors":  func(s *Settings) { s.Gateways = 0 },
 		"no attempts":     func(s *Settings) { s.MaxAttempts = 0 },
-		"worth NaN":       func(s *Settings) { s.Classes[0].Worth = math.NaN() },
-		"no aim":          func(s *Settings) { s.Classes[0].Aim = 0 },
+		"worth NaN":       func(s *Settings) { s.Classes[0].Value = math.NaN() },
+		"no aim":          func(s *Settings) { s.Classes[0].TargetLatency = 0 },
 		"rate NaN":        func(s *Settings) { s.Plans[0].Rate = math.NaN() },
 		"rate infinite":   func(s *Settings) { s.Plans[0].Rate = math.Inf(1) },
 		"no burst":        func(s *Settings) { s.Plans[0].Burst = 0 },
 		"ceiling below 0": func(s *Settings) { s.Plans[2].CeilingRate = -1 },
-		"cost NaN":        func(s *Settings) { s.Plans[0].OverCost = math.NaN() },
-		"worth below 0":   func(s *Settings) { s.Plans[0].OverWorth = -1 },
+		"cost NaN":        func(s *Settings) { s.Plans[0].ExcessCostShare = math.NaN() },
+		"worth below 0":   func(s *Settings) { s.Plans[0].ExcessValueShare = -1 },
 	}
 	for name, spoil := range cases {
 		s := testSettings()
@@ -58,13 +58,13 @@
 }
 
 func TestRequestsThatCannotGoAreRefusedAtOnce(t *testing.T) {
-	good := Request{ID: 1, Class: "safe", Plan: "wide", Units: 1, Patience: second, Spread: 1}
+	good := Request{ID: 1, Class: "safe", Plan: "wide", Units: 1, Timeout: second, GatewayCount: 1}
 	cases := map[string]func(*Request){
 		"class":    func(q *Request) { q.Class = "?" },
 		"plan":     func(q *Request) { q.Plan = "?" },
 		"units":    func(q *Request) { q.Units = math.NaN() },
 		"negative": func(q *Request) { q.Units = -1 },
-		"patience": func(q *Request) { q.Patience = 0 },
+		"patience": func(q *Request) { q.Timeout = 0 },
 	}
 	for name, spoil := range cases {
 		r, q := newRig(t, testSettings(), fleet(1)...), good
@@ -101,7 +101,7 @@
 		id, as := r.ask("safe", "rated", CustomerID(i))
 		r.outcome(id, sends(as)[0].Backend, 0, Answered)
 	}
-	r.now += idleForget + second
+	r.now += customerIdleTime + second
 	r.do(Timer{})
 	if n := len(r.g.customers); n != 0 {
 		t.Errorf("%d customers kept after a minute idle", n)
--- a/internal/gateway/health.go
+++ b/internal/gateway/health.go
@@ -5,132 +5,140 @@
 	"time"
 )
 
-// What a gateway notices of its backends before the list tells.
+// Passive health checks: what a gateway detects of its backends before the list of backends shows it.
 
 const (
-	firstHold   = 125 * time.Millisecond
-	longestHold = second
-	downAfter   = 3 // failed connections in a row
+	initialBackoff    = 125 * time.Millisecond // after a failed connection; doubles with each further one in a row
+	maxBackoff        = second
+	downAfterFailures = 3 // failed connections in a row after which a backend counts as down
 
-	quietFor   = 2.0      // answers that a backend may owe, in mean answers, before it costs more to choose
-	deadAfter  = 10.0     // mean latencies of its class after which a first attempt is given up, if another can be made
-	spareShare = 1.0 / 16 // of the sends may be cancelled
-	mostSpare  = 8.0      // ... and so many at once
-	mostStrike = 8.0      // mean answers, over those that are free, that a backend owes at most after a strike
-	coldMost   = 0.45     // of the fall multiple: more than so much of a cold backend's warmth is not sent to it
-	coldTurn   = 1.0 / 4  // of its cost is a cold backend's whose turn it is: it goes first unless four times as costly
-	owedFades  = 1.0      // seconds in which what an idle backend owes fades to 1/e
-	slowFades  = 2.0      // ... and its slowness over the mean
+	overdueThreshold     = 2.0      // mean answers that may be overdue before the backend's cost rises
+	cancelAfterLatencies = 10.0     // mean latencies of its class after which a first attempt is cancelled
+	cancelBudgetPerSend  = 1.0 / 16 // attempts that may be cancelled for each one sent
+	maxCancelBudget      = 8.0      // attempts that may be cancelled in a burst
+	maxOutlierPenalty    = 8.0      // most mean answers above overdueThreshold that a cancelled attempt leaves overdue
+	maxColdLoad          = 0.45     // most load of a cold backend, as a share of what would overload it
+	coldCostFactor       = 1.0 / 4  // on the cost of a cold backend with a token: preferred unless 4 times as costly
+	overdueDecayTime     = 1.0      // seconds in which the overdue answers of an idle backend decay to 1/e
+	slownessDecayTime    = 2.0      // seconds in which the slowness of an idle backend above the mean decays to 1/e
 
-	knownFor   = 4 * second // a gateway keeps to as many backends as it sends requests in this time
-	knownLeast = 4.0        // ... and to this many at least
-	mostLooked = 256        // of these are looked at for one attempt at most
+	subsetWindow  = 4 * second // the subset has as many backends as the gateway sends attempts in this time
+	minSubsetSize = 4.0        // least number of backends in the subset
+	maxCandidates = 256        // most backends of the subset that are examined for one attempt
 )
 
-// subsetSize is how many backends this gateway keeps to: of a few that it hears from every few seconds it learns
-// which are slow or silent, of a hundred it would not. As each gateway has its own order of them, all are used
-// alike.
+// subsetSize returns the size of the subset of the backends that this gateway sends to. From a small subset, each of
+// whose backends answers every few seconds, it learns which are slow or silent; from hundreds of backends it would
+// not. Each gateway has its own random order of the backends, so all of them are used equally.
 func (g *Gateway) subsetSize() float64 {
-	return max(knownLeast, g.sendRate*knownFor.Seconds())
+	return max(minSubsetSize, g.sendRate*subsetWindow.Seconds())
 }
 
-// noConnection holds sends to a backend that could not be reached, for longer each time in a row. Only where that
-// goes on is its process taken to be down, and then it will be cold by the list's next word: a single connection
-// that breaks tells nothing of the rest.
-func (g *Gateway) noConnection(b *backend) {
-	b.holdUntil = g.now + min(firstHold<<b.unreached, longestHold)
-	if b.unreached++; b.unreached >= downAfter {
-		b.cold, b.coldSince, b.tokens, b.unreached = true, g.now, 0, downAfter
+// onConnectFailure backs off from a backend that could not be reached, for longer with each failure in a row. Only
+// after downAfterFailures of them it takes the backend's process to be down, and then treats it as cold, as it will be
+// when the list shows it again. A single broken connection is no evidence about the others.
+func (g *Gateway) onConnectFailure(b *backend) {
+	b.backoffUntil = g.now + min(initialBackoff<<b.connectFailures, maxBackoff)
+	if b.connectFailures++; b.connectFailures >= downAfterFailures {
+		b.cold, b.coldSince, b.tokens, b.connectFailures = true, g.now, 0, downAfterFailures
 		g.coldBackends.Add(b)
 	}
 }
 
-// warmth is the least share of its capacity that the backend has by now.
-func (g *Gateway) warmth(b *backend) float64 {
+// capacityShare returns the least share of its full capacity that the backend has by now, from ColdCapacity to 1. It
+// clears b.cold once the backend has warmed up.
+func (g *Gateway) capacityShare(b *backend) float64 {
 	age := float64(g.now - b.coldSince)
-	if b.cold = b.cold && age < float64(g.settings.WarmWithin); !b.cold {
+	if b.cold = b.cold && age < float64(g.settings.WarmUpTime); !b.cold {
 		return 1
 	}
-	return min(1, g.settings.ColdFrom+(1-g.settings.ColdFrom)*max(0, age)/float64(g.settings.WarmWithin))
+	return min(1, g.settings.ColdCapacity+(1-g.settings.ColdCapacity)*max(0, age)/float64(g.settings.WarmUpTime))
 }
 
-// coldToken paces the sends to a cold backend: by its warmth, it gets its part of what this gateway sends to all
-// that it keeps to. If every gateway does so, together they stay within its present capacity wherever the rest can
-// bear its load, with the fall multiple as the margin. At most one send is saved up: none bursts in. Where one of
-// many gateways gets to a backend every few seconds only, a whole token would take the time of the warming up; so
-// each gateway begins with a random part of one, and all together send at the right rate from the first second on.
-// It is 0 where no send is due, else the factor of the backend's cost. warm, if 0, becomes the warmth of all.
-func (g *Gateway) coldToken(b *backend, warm *float64) float64 {
-	w := g.warmth(b)
+// slowStartFactor paces the sends to a cold backend by a token bucket. It returns 0 if no send is due, else the factor
+// on the backend's cost. The bucket refills at the backend's share, by its present capacity, of what this gateway
+// sends to its subset. If every gateway does so, together they stay within the backend's capacity as long as the
+// others can carry their load, with the overload multiple as the margin. At most one token is saved up, so there are
+// no bursts. Where each of many gateways picks the backend every few seconds only, saving up a whole token would take
+// as long as the warm-up; so each gateway begins with a random fraction of a token, and together they send at the
+// right rate from the first second on. If *totalCapacity is 0, it is set to the capacity of all ready backends, in
+// warm backends.
+func (g *Gateway) slowStartFactor(b *backend, totalCapacity *float64) float64 {
+	capacity := g.capacityShare(b)
 	if !b.cold {
 		return 1
 	}
-	ready := float64(g.ranking.Len() - g.unavailable.Len())
-	if *warm == 0 {
-		sum := ready
-		g.coldBackends.Sweep(func(o *backend) bool {
-			sum += float64(b2i(o.State == Ready)) * (g.warmth(o) - 1)
-			return o.cold && g.backends[o.ID] == o
+	readyBackends := float64(g.ranking.Len() - g.unavailable.Len())
+	if *totalCapacity == 0 {
+		capacitySum := readyBackends
+		g.coldBackends.Sweep(func(other *backend) bool {
+			capacitySum += float64(boolToInt(other.State == Ready)) * (g.capacityShare(other) - 1)
+			return other.cold && g.backends[other.ID] == other
 		})
-		*warm = sum
+		*totalCapacity = capacitySum
 	}
-	sends := g.sendRate
-	if g.ticks == 0 { // nothing counted yet: what it has sent is all that it knows
-		sends = g.sends
+	sendRate := g.sendRate
+	if g.ticks == 0 { // no second has been counted yet
+		sendRate = g.sends
 	}
-	rate := max(sends, ready/float64(g.settings.Gateways)) / min(ready, g.subsetSize())
-	part := w * min(ready / *warm, coldMost*g.settings.FallMultiple) // of what a warm one is sent on average
-	b.tokens = min(1, b.tokens+part*rate*(g.now-b.tokensAt).Seconds())
+	meanRate := max(sendRate, readyBackends/float64(g.settings.Gateways)) / min(readyBackends, g.subsetSize())
+	// relativeRate is the rate for this backend as a share of meanRate.
+	relativeRate := capacity * min(readyBackends / *totalCapacity, maxColdLoad*g.settings.OverloadMultiple)
+	b.tokens = min(1, b.tokens+relativeRate*meanRate*(g.now-b.tokensAt).Seconds())
 	b.tokensAt = g.now
-	return coldTurn * float64(b2i(b.tokens >= 1))
+	return coldCostFactor * float64(boolToInt(b.tokens >= 1))
 }
 
-// updateOverdue brings up to now how many mean answers are overdue from the backend since its last one: whatever
-// makes it go silent (hang, pause, lost network) shows without a time-out. A few long requests, or one on a dead
-// connection, can raise it wrongly, so it only raises the cost. With nothing out that fades, and so does slowness:
-// only a further attempt tells whether they still hold, and the higher they stand the less is known. Else every
-// backend is shunned in turn for a minute after one dead attempt, and the rest, crowded, answer late. It costs an
-// attempt every few seconds at a backend that goes on being silent; cancelSlow makes that up.
+// updateOverdue brings the backend's overdue up to date and returns it: how many mean answers it has failed to give
+// since its last answer. So whatever silences it (a hang, a pause, a lost network) shows without a timeout. A few long
+// requests, or one on a dead connection, can raise it wrongly, so it only raises the backend's cost.
+//
+// While nothing is in flight, overdue and slowness decay: only a further attempt can show whether they still hold, and
+// the higher they are the less often one is sent. Without the decay, each backend in turn is avoided for a minute
+// after one dead attempt, and the rest are overloaded and answer late. The decay costs an attempt every few seconds at
+// a backend that stays silent, which cancelSlow makes up for.
 func (g *Gateway) updateOverdue(b *backend) float64 {
-	dt := (g.now - b.overdueAt).Seconds()
+	elapsed := (g.now - b.overdueAt).Seconds()
 	b.overdueAt = g.now
-	if b.out == 0 {
-		b.overdue *= math.Exp(-dt / owedFades)
-		b.slow -= max(0, b.slow-1) * (1 - math.Exp(-dt/slowFades))
+	if b.inFlight == 0 {
+		b.overdue *= math.Exp(-elapsed / overdueDecayTime)
+		b.slowness -= max(0, b.slowness-1) * (1 - math.Exp(-elapsed/slownessDecayTime))
 	}
-	b.overdue += float64(b.out) * dt / (g.meanLatency * max(1, b.slow))
+	b.overdue += float64(b.inFlight) * elapsed / (g.meanLatency * max(1, b.slowness))
 	return b.overdue
 }
 
-// cancelSlow ends first attempts that have waited out of all proportion, so that they are made once more elsewhere,
-// in the same slot. A connection that has gone silent, or a backend that hangs, would else hold the slot until the
-// client gives up, a hundred times as long as an answer takes; a few of them are all of a small N. In a jam many
-// wait as long, and what is cancelled there is work done twice, so a small share of the sends bounds it and no
-// request is cancelled again: it can do harm where more than that share is slow by nature, up to that share. Each
-// class's attempts are looked at in the order of their sends.
+// cancelSlow cancels first attempts that have been in flight for far longer than usual, so that they are repeated at
+// another backend, in the same slot. Otherwise, a connection that went silent or a backend that hangs holds the slot
+// until the client times out, a hundred times as long as an answer takes, and a few such slots are all of a small
+// concurrency limit. In an overload many attempts take as long, and each cancelled one is work done twice. So the
+// cancellations are limited to a small share of the sends, and no request is cancelled twice: where more attempts than
+// that share are slow by nature, the harm is limited to that share. The attempts of each class are checked in the
+// order in which they were sent.
 func (g *Gateway) cancelSlow() {
-	for _, cl := range g.byClass {
-		for len(cl.first) > 0 {
-			r := cl.first[0]
-			t := &r.attempts[0]
-			waits := !r.ended && !r.streamed && len(r.attempts) == 1 && t.open
-			if waits && (g.now-t.sent).Seconds() < deadAfter*cl.latency {
+	for _, class := range g.orderedClasses {
+		for len(class.firstAttempts) > 0 {
+			r := class.firstAttempts[0]
+			attempt := &r.attempts[0]
+			waiting := !r.ended && !r.streamed && len(r.attempts) == 1 && attempt.inFlight
+			if waiting && (g.now-attempt.sentAt).Seconds() < cancelAfterLatencies*class.meanLatency {
 				break
 			}
-			cl.first[0], cl.first = nil, cl.first[1:]
-			inTime := (r.deadline - g.now).Seconds() > 2*cl.latency
-			if waits && inTime && g.settings.CanCancel && g.cancelBudget >= 1 && g.choose(r) != nil {
+			class.firstAttempts[0], class.firstAttempts = nil, class.firstAttempts[1:]
+			canStillFinish := (r.deadline - g.now).Seconds() > 2*class.meanLatency
+			if waiting && canStillFinish && g.settings.CanCancel && g.cancelBudget >= 1 && g.chooseBackend(r) != nil {
 				g.cancelBudget--
-				t.superseded = true
-				g.act(Cancel{Request: r.id})
+				attempt.superseded = true
+				g.emit(Cancel{Request: r.id})
 			}
 		}
 	}
 }
 
-// markOutlier makes a backend costlier after an attempt there was cancelled. One may be its connection's fault, so
-// the backend is soon tried again; it gets twice as costly with each further one until an answer comes.
+// markOutlier raises the cost of a backend after an attempt there was cancelled as too slow. A single one may be the
+// fault of its connection, so the penalty is small and the backend is soon tried again. It doubles with each further
+// one until an answer comes.
 func (g *Gateway) markOutlier(b *backend) {
-	b.overdue = min(b.overdue, quietFor+min(mostStrike, math.Ldexp(1, b.outliers)))
-	b.outliers++
+	b.overdue = min(b.overdue, overdueThreshold+min(maxOutlierPenalty, math.Ldexp(1, b.outlierCount)))
+	b.outlierCount++
 }
--- a/internal/gateway/health_test.go
+++ b/internal/gateway/health_test.go
@@ -10,21 +10,21 @@
 func TestOneBrokenConnectionIsNoRestart(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(1)...)
 	id, _ := r.ask("safe", "wide", 1)
-	r.outcome(id, 1, 0, Broken)
+	r.outcome(id, 1, 0, ConnectionBroken)
 	b := r.g.backends[1]
-	if b.cold || b.holdUntil > r.now {
-		t.Errorf("after a reset: cold %v, held for %v", b.cold, b.holdUntil-r.now)
+	if b.cold || b.backoffUntil > r.now {
+		t.Errorf("after a reset: cold %v, held for %v", b.cold, b.backoffUntil-r.now)
 	}
-	for n := 1; n <= downAfter; n++ {
+	for n := 1; n <= downAfterFailures; n++ {
 		id, as := r.ask("safe", "wide", 1)
 		if len(sends(as)) != 1 {
 			t.Fatalf("after %d failed connections and a hold: %+v", n-1, as)
 		}
 		r.outcome(id, 1, 0, NoConnection)
-		if b.holdUntil <= r.now || b.cold != (n == downAfter) {
-			t.Errorf("after %d failed connections: cold %v, held for %v", n, b.cold, b.holdUntil-r.now)
+		if b.backoffUntil <= r.now || b.cold != (n == downAfterFailures) {
+			t.Errorf("after %d failed connections: cold %v, held for %v", n, b.cold, b.backoffUntil-r.now)
 		}
-		r.now = b.holdUntil
+		r.now = b.backoffUntil
 	}
 }
 
@@ -37,17 +37,17 @@
 		backends[i].Cell = 0
 	}
 	r = newRig(t, testSettings(), backends...)
-	for _, cl := range r.g.byClass {
-		cl.latency, cl.bestLatency = 0.1, 0.1
+	for _, cl := range r.g.orderedClasses {
+		cl.meanLatency, cl.minLatency = 0.1, 0.1
 	}
-	r.g.meanLatency, r.g.bestLatency, r.g.cancelBudget = 0.1, 0.1, mostSpare
+	r.g.meanLatency, r.g.minLatency, r.g.cancelBudget = 0.1, 0.1, maxCancelBudget
 	id, as := r.ask(class, "wide", 1)
 	return r, id, sends(as)[0].Backend
 }
 
 // wait lets the time pass after which a first attempt may be cancelled, and gives what the next event leads to.
 func (r *rig) wait() []Action {
-	r.now += seconds(deadAfter*0.1) + ms
+	r.now += seconds(cancelAfterLatencies*0.1) + ms
 	return r.do(ProbeResult{})
 }
 
@@ -80,7 +80,7 @@
 		{"no cancels", "safe", func(r *rig) { r.g.settings.CanCancel = false }, 0},
 		{"the client gives up soon", "safe", func(r *rig) {
 			for _, q := range r.g.requests {
-				q.deadline = r.now + seconds(deadAfter*0.1) + 150*ms
+				q.deadline = r.now + seconds(cancelAfterLatencies*0.1) + 150*ms
 			}
 		}, 0},
 	} {
@@ -93,13 +93,13 @@
 		if len(off) != c.want {
 			t.Errorf("%s: %d attempts called off, want %d", c.name, len(off), c.want)
 		}
-		if n := len(r.g.classes[c.class].first); n != 0 {
+		if n := len(r.g.classes[c.class].firstAttempts); n != 0 {
 			t.Errorf("%s: %d attempts are still looked at", c.name, n)
 		}
 		if len(off) == 0 {
 			continue
 		}
-		again := sends(r.do(Outcome{Request: id, Backend: b, Result: Cancelled, Took: second}))
+		again := sends(r.do(Outcome{Request: id, Backend: b, Result: Cancelled, Duration: second}))
 		if len(again) != 1 || again[0].Backend == b || held(r.g) != 1 {
 			t.Fatalf("%s: then %+v with %d slots held, want one more attempt elsewhere, in one slot", c.name, again, held(r.g))
 		}
@@ -120,7 +120,7 @@
 	for range more {
 		r.ask("safe", "wide", 1)
 	}
-	if n, most := len(cancels(r.wait())), int(mostSpare); n > most || n == 0 {
+	if n, most := len(cancels(r.wait())), int(maxCancelBudget); n > most || n == 0 {
 		t.Errorf("%d of %d attempts called off at once, want some, and %d at most", n, more, most)
 	}
 }
@@ -130,19 +130,19 @@
 func TestBackendsAreStruckHarderEachTime(t *testing.T) {
 	r, id, at := quick(t, 2, "safe")
 	b := r.g.backends[at]
-	slow := b.slow
-	last := quietFor
+	slow := b.slowness
+	last := overdueThreshold
 	for n := range 3 {
 		r.wait()
-		r.do(Outcome{Request: id, Backend: at, Result: Cancelled, Took: second})
-		if b.overdue <= last || b.slow != slow {
-			t.Errorf("after %d strikes: owes %v, not over %v, or slowness %v is not %v", n+1, b.overdue, last, b.slow, slow)
+		r.do(Outcome{Request: id, Backend: at, Result: Cancelled, Duration: second})
+		if b.overdue <= last || b.slowness != slow {
+			t.Errorf("after %d strikes: owes %v, not over %v, or slowness %v is not %v", n+1, b.overdue, last, b.slowness, slow)
 		}
 		last = b.overdue
 		for o := range r.g.ranking.All() { // the rest is shut, so that the next attempt goes there as well
-			o.holdUntil = r.now
+			o.backoffUntil = r.now
 			if o != b {
-				o.holdUntil = r.now + second
+				o.backoffUntil = r.now + second
 			}
 		}
 		next, as := r.ask("safe", "wide", 1)
@@ -152,7 +152,7 @@
 		id = next
 	}
 	r.outcome(id, at, 0, Answered)
-	if b.outliers != 0 || b.overdue != 0 {
-		t.Errorf("after an answer: %d strikes, owes %v", b.outliers, b.overdue)
+	if b.outlierCount != 0 || b.overdue != 0 {
+		t.Errorf("after an answer: %d strikes, owes %v", b.outlierCount, b.overdue)
 	}
 }
--- a/internal/gateway/listing_test.go
+++ b/internal/gateway/listing_test.go
@@ -64,18 +64,18 @@
 		if info, listed := want[b.ID]; b.State != Gone && (!listed || info.State != b.State) {
 			t.Fatalf("step %d: backend %d is %d here, %+v in the lists", step, b.ID, b.State, info)
 		}
-		if b.State == Gone && b.out == 0 || g.backends[b.ID] != b {
+		if b.State == Gone && b.inFlight == 0 || g.backends[b.ID] != b {
 			t.Fatalf("step %d: backend %d is still here", step, b.ID)
 		}
 		if b.State == Ready {
 			ready++
-			warm += g.warmth(b)
-			cold += b2i(b.cold)
+			warm += g.capacityShare(b)
+			cold += boolToInt(b.cold)
 		}
 	}
 	listed := 0
 	for _, info := range want {
-		listed += b2i(info.State == Ready)
+		listed += boolToInt(info.State == Ready)
 	}
 	if ready != listed || g.ranking.Len()-g.unavailable.Len() != ready || g.ranking.Len() != len(g.backends) {
 		t.Fatalf("step %d: %d ready, %d in the lists, %d counted; %d in order of %d", step, ready, listed,
@@ -84,8 +84,8 @@
 	colds, sum := 0, float64(ready)
 	g.coldBackends.Sweep(func(b *backend) bool {
 		if b.State == Ready && g.backends[b.ID] == b {
-			sum += g.warmth(b) - 1
-			colds += b2i(b.cold)
+			sum += g.capacityShare(b) - 1
+			colds += boolToInt(b.cold)
 		}
 		return true
 	})
@@ -106,15 +106,15 @@
 			s := sends(actions)[0]
 			looked := 0
 			for b := range r.g.ranking.All() {
-				looked += b2i(b.overdueAt == r.now)
+				looked += boolToInt(b.overdueAt == r.now)
 			}
 			most = max(most, looked)
 			r.outcome(s.Request, s.Backend, 0, Answered)
 		}
 		return most
 	}
-	for _, backends := range []int{1, 40, mostLooked, 4 * mostLooked, 20 * mostLooked} {
-		if got, want := looks(backends), min(backends, mostLooked); got != want {
+	for _, backends := range []int{1, 40, maxCandidates, 4 * maxCandidates, 20 * maxCandidates} {
+		if got, want := looks(backends), min(backends, maxCandidates); got != want {
 			t.Errorf("%d backends: %d looked at for a request, want %d", backends, got, want)
 		}
 	}
@@ -122,7 +122,7 @@
 
 // Of the backends that a gateway keeps to all are used, also where it looks at a part of them each time.
 func TestAllKeptBackendsAreUsed(t *testing.T) {
-	const kept, requests = 2 * mostLooked, 20 * 2 * mostLooked
+	const kept, requests = 2 * maxCandidates, 20 * 2 * maxCandidates
 	r := newRig(t, testSettings(), fleet(4*kept)...)
 	used := map[BackendID]int{}
 	for range requests {
--- a/internal/gateway/market_specs_test.go
+++ b/internal/gateway/market_specs_test.go
@@ -7,26 +7,26 @@
 // marketSpecs are markets of different fleets and settings, as far apart as the pages allow.
 func marketSpecs() map[string]marketSpec {
 	class := func(name string, worth, part, fixed, mean float64) marketClass {
-		return marketClass{Class: Class{Name: name, Effect: Safe, Aim: 2 * second, Deadline: 6 * second, Worth: worth},
+		return marketClass{Class: Class{Name: name, Effect: Safe, TargetLatency: 2 * second, Deadline: 6 * second, Value: worth},
 			part: part, fixed: fixed, mean: mean}
 	}
 	plan := func(name string, rate, burst, price, overWorth, overCost, use float64) marketPlan {
-		return marketPlan{Plan: Plan{Name: name, Rate: rate, Burst: burst, Price: price, OverWorth: overWorth,
-			OverCost: overCost}, use: use, spread: 0.5}
+		return marketPlan{Plan: Plan{Name: name, Rate: rate, Burst: burst, ValueFactor: price, ExcessValueShare: overWorth,
+			ExcessCostShare: overCost}, use: use, spread: 0.5}
 	}
 	sized := []marketClass{class("read", 3, 0.5, 0, 2.5), class("write", 5, 0.25, 0, 2.5), class("start", 3, 0.25, 0, 2.5)}
 	four := []marketPlan{plan("basic", 1.6, 16, 0.55, 0, 1, 0.25), plan("standard", 3.5, 17, 0.72, 0, 0.6, 0.25),
 		plan("business", 11, 23, 1.2, 0, 1, 0.25), plan("estate", 28, 50, 1.8, 0, 0.8, 0.25)}
 	limited := append([]marketPlan{}, four...)
-	limited[1].Open, limited[1].Rate, limited[1].Burst = 3, 0, 0
-	limited[3].Open, limited[3].CeilingRate, limited[3].CeilingBurst, limited[3].most = 4, 60, 100, 6
+	limited[1].MaxInFlight, limited[1].Rate, limited[1].Burst = 3, 0, 0
+	limited[3].MaxInFlight, limited[3].CeilingRate, limited[3].CeilingBurst, limited[3].most = 4, 60, 100, 6
 	hard := append([]marketPlan{}, four...)
-	hard[3].Open, hard[3].CeilingRate, hard[3].CeilingBurst, hard[3].CeilingSlack, hard[3].most = 3, 60, 105, 10, 6
+	hard[3].MaxInFlight, hard[3].CeilingRate, hard[3].CeilingBurst, hard[3].CeilingSlack, hard[3].most = 3, 60, 105, 10, 6
 	portal := []marketPlan{plan("basic", 1.6, 12, 0.55, 0, 1.2, 0.23), plan("standard", 4.8, 22, 0.8, 0.3, 0, 0.17),
 		plan("family", 15, 32, 1.1, 0, 1.2, 0.37), plan("farm", 37, 83, 1.8, 0, 0.6, 0.23)}
-	portal[3].Open, portal[3].CeilingRate, portal[3].CeilingBurst, portal[3].CeilingSlack, portal[3].most = 4, 72, 160, 16, 13
+	portal[3].MaxInFlight, portal[3].CeilingRate, portal[3].CeilingBurst, portal[3].CeilingSlack, portal[3].most = 4, 72, 160, 16, 13
 	dear := append([]marketPlan{}, portal...)
-	dear[0].OverCost, dear[2].OverCost = 2, 2
+	dear[0].ExcessCostShare, dear[2].ExcessCostShare = 2, 2
 	return map[string]marketSpec{
 		"portal": {doors: 300, most: 6, perDoor: 10, period: 2 * second, late: 800 * ms, least: 0.74, bound: 0.14, plans: portal,
 			classes: []marketClass{class("view", 1, 1, 0, 2.2)}, heavy: 0.1, retries: 1},
--- a/internal/gateway/market_test.go
+++ b/internal/gateway/market_test.go
@@ -106,7 +106,7 @@
 
 func newMarket(t *testing.T, spec marketSpec, seed uint64) *market {
 	set := testSettings()
-	set.Gateways, set.MeterPeriod, set.LargestUnits = spec.doors, spec.period, float64(spec.most)
+	set.Gateways, set.MeterPeriod, set.MaxRequestUnits = spec.doors, spec.period, float64(spec.most)
 	set.Classes, set.Plans = nil, nil
 	for _, c := range spec.classes {
 		set.Classes = append(set.Classes, c.Class)
@@ -137,7 +137,7 @@
 		inside, asked := 0.0, 0.0
 		rate := plan.Rate
 		if rate <= 0 { // half of the limit out by what the customer asks at its quota
-			rate = float64(plan.Open) / 2 * mean / meanWork.Seconds()
+			rate = float64(plan.MaxInFlight) / 2 * mean / meanWork.Seconds()
 		}
 		for inside < target*plan.use && asked < 2*target*plan.use {
 			spread := min(m.spec.doors, max(2, int(float64(m.spec.doors)*(plan.spread+(1-plan.spread)*rng.Float64()))))
@@ -222,7 +222,7 @@
 		if a.within {
 			t.offered += worth
 		} else {
-			t.offered += worth * plan.OverWorth
+			t.offered += worth * plan.ExcessValueShare
 		}
 	}
 	door, r := m.try(a)
@@ -230,7 +230,7 @@
 }
 
 func (m *market) worth(a *marketAsk) float64 {
-	return m.spec.classes[a.class].Worth * m.spec.plans[m.customers[a.customer].plan].Price * a.units
+	return m.spec.classes[a.class].Value * m.spec.plans[m.customers[a.customer].plan].ValueFactor * a.units
 }
 
 func (m *market) tallies(a *marketAsk) []*tally {
@@ -245,7 +245,7 @@
 	m.next++
 	m.asks[m.next] = a
 	return m.door(c), Request{ID: m.next, Customer: CustomerID(a.customer), Class: m.spec.classes[a.class].Name,
-		Plan: m.spec.plans[c.plan].Name, Units: a.units, Patience: 3 * second, FirstGateway: c.first, Spread: c.spread}
+		Plan: m.spec.plans[c.plan].Name, Units: a.units, Timeout: 3 * second, FirstGateway: c.first, GatewayCount: c.spread}
 }
 
 func (m *market) sentOn(r Request, _ BackendID, first bool) {
@@ -253,11 +253,11 @@
 	c := &m.customers[a.customer]
 	plan := &m.spec.plans[c.plan].Plan
 	if first {
-		a.beyond = plan.Open > 0 && c.open >= plan.Open || !c.sent.take(plan, m.now, r.Units)
+		a.beyond = plan.MaxInFlight > 0 && c.open >= plan.MaxInFlight || !c.sent.take(plan, m.now, r.Units)
 		c.periods[int64(m.now/m.spec.period)] += r.Units
 		for _, t := range m.tallies(a) {
 			if a.beyond {
-				t.price += plan.OverCost * m.worth(a)
+				t.price += plan.ExcessCostShare * m.worth(a)
 			}
 		}
 	}
@@ -275,7 +275,7 @@
 	a.done = true
 	for _, t := range m.tallies(a) {
 		if a.beyond {
-			t.served += m.spec.plans[m.customers[a.customer].plan].OverWorth * m.worth(a)
+			t.served += m.spec.plans[m.customers[a.customer].plan].ExcessValueShare * m.worth(a)
 		} else {
 			t.served += m.worth(a)
 		}
@@ -309,7 +309,7 @@
 		return 0, false
 	}
 	if plan.Rate <= 0 {
-		return 100 * c.mostOut[period] / float64(plan.Open), true
+		return 100 * c.mostOut[period] / float64(plan.MaxInFlight), true
 	}
 	return 100 * c.periods[period] / (plan.Rate * m.spec.period.Seconds()), true
 }
@@ -318,7 +318,7 @@
 	end := m.now + seconds(length)
 	for m.now < end {
 		m.runUntil(m.now+second, m.rates[len(m.rates)-1], m.ask)
-		for range m.spec.doors / 20 * b2i(m.spec.restarts) {
+		for range m.spec.doors / 20 * boolToInt(m.spec.restarts) {
 			m.start(m.rng.IntN(m.spec.doors))
 		}
 	}
--- a/internal/gateway/property_test.go
+++ b/internal/gateway/property_test.go
@@ -88,7 +88,7 @@
 		}
 		for _, t := range r.tries {
 			if refusal && r.class.Effect != Safe && (t.open || !neverRan(t.result)) &&
-				(r.class.Effect == Unsafe || r.class.Group != GroupAll) {
+				(r.class.Effect == Unsafe || r.class.Scope != ScopeAll) {
 				k.fail("%s request %d refused though it may have run", r.class.Name, id)
 			}
 		}
@@ -123,15 +123,15 @@
 		k.fail("too many attempts for request %d", a.Request)
 	}
 	for _, t := range r.tries {
-		if t.open && !k.set.ParallelTries {
+		if t.open && !k.set.ParallelAttempts {
 			k.fail("two attempts of request %d out together", a.Request)
 		}
 		if !t.open && neverRan(t.result) || r.class.Effect == Safe {
 			continue
 		}
 		o := k.told[door][t.backend]
-		if r.class.Effect == Unsafe || k.now-t.sent > r.class.KeyWindow ||
-			r.class.Group == GroupZone && o.Zone != b.Zone || r.class.Group == GroupCell && o.Cell != b.Cell {
+		if r.class.Effect == Unsafe || k.now-t.sent > r.class.DedupWindow ||
+			r.class.Scope == ScopeZone && o.Zone != b.Zone || r.class.Scope == ScopeCell && o.Cell != b.Cell {
 			k.fail("%s request %d sent again where it may run twice", r.class.Name, a.Request)
 		}
 	}
@@ -147,15 +147,15 @@
 		}
 	}
 	r.tries = append(r.tries, &seenTry{door: door, try: len(r.tries), backend: a.Backend, sent: k.now, open: true})
-	if b.Started > 0 && k.now-b.Started < k.set.WarmWithin/2 {
+	if b.Started > 0 && k.now-b.Started < k.set.WarmUpTime/2 {
 		k.cold[a.Backend] = append(k.cold[a.Backend], k.now)
 		in := 0
 		for _, at := range k.cold[a.Backend] {
-			in += b2i(k.now-at <= k.set.FallFor)
+			in += boolToInt(k.now-at <= k.set.OverloadTime)
 		}
 		// over all gateways, no more than what the gateways together may send to one warm backend, and one each
 		if most := len(k.doors) + int(1.5*arrivalsPerSecond/3); in > most {
-			k.fail("%d sends in %v to backend %d, which has just started; at most %d", in, k.set.FallFor, b.ID, most)
+			k.fail("%d sends in %v to backend %d, which has just started; at most %d", in, k.set.OverloadTime, b.ID, most)
 		}
 	}
 }
@@ -174,7 +174,7 @@
 }
 
 func (k *checker) start(door int) {
-	k.set.Me = door
+	k.set.Index = door
 	g, err := New(k.set, k.rng.Uint64(), k.now)
 	if err != nil {
 		k.t.Fatal(err)
@@ -227,8 +227,8 @@
 				r.ended, r.endedAt = true, k.now
 			}
 			t.open, t.result = false, res
-			k.give(r.door, Outcome{Request: id, Backend: t.backend, Attempt: t.try, Result: res, Took: k.now - t.sent,
-				Final: r.ended, HasUse: k.rng.IntN(2) == 0, Use: float64(k.rng.IntN(300))})
+			k.give(r.door, Outcome{Request: id, Backend: t.backend, Attempt: t.try, Result: res, Duration: k.now - t.sent,
+				Final: r.ended, HasUsage: k.rng.IntN(2) == 0, UsagePercent: float64(k.rng.IntN(300))})
 		}
 		if !r.ended && k.now > r.due+k.set.AnswerGrace {
 			k.fail("request %d of class %s has no final answer %v after its deadline", id, r.class.Name, k.now-r.due)
@@ -271,10 +271,10 @@
 	default:
 		k.next++
 		q := Request{ID: k.next, Customer: CustomerID(k.rng.IntN(6)), Units: 1,
-			Class: k.set.Classes[k.rng.IntN(len(k.set.Classes))].Name, Spread: min(len(k.doors), 4), FirstGateway: len(k.doors) - 2}
+			Class: k.set.Classes[k.rng.IntN(len(k.set.Classes))].Name, GatewayCount: min(len(k.doors), 4), FirstGateway: len(k.doors) - 2}
 		q.Plan = k.set.Plans[int(q.Customer)%len(k.set.Plans)].Name
-		q.Patience = second + time.Duration(k.rng.IntN(int(5*second)))
-		k.requests[q.ID] = &seenRequest{door: door, req: q, class: k.class(q.Class), due: k.now + q.Patience}
+		q.Timeout = second + time.Duration(k.rng.IntN(int(5*second)))
+		k.requests[q.ID] = &seenRequest{door: door, req: q, class: k.class(q.Class), due: k.now + q.Timeout}
 		k.order = append(k.order, q.ID)
 		k.give(door, q)
 	}
@@ -282,7 +282,7 @@
 
 func runChecker(t *testing.T, seed uint64, doors int, parallel bool, steps int) []string {
 	s := testSettings()
-	s.Gateways, s.ParallelTries, s.AnswerGrace = doors, parallel, 80*ms
+	s.Gateways, s.ParallelAttempts, s.AnswerGrace = doors, parallel, 80*ms
 	k := &checker{t: t, set: s, rng: rand.New(rand.NewPCG(seed, 1)), now: 500 * second, doors: make([]*Gateway, doors),
 		lives: make([]int, doors), timers: make([][]pendingTimer, doors), requests: map[RequestID]*seenRequest{},
 		ceiling: map[CustomerID]float64{}, ceilAt: map[CustomerID]time.Duration{}, cold: map[BackendID][]time.Duration{}}
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -8,34 +8,35 @@
 	"herontiller/internal/shares"
 )
 
-// The quota of a customer: its token bucket, as the meter's readings tell it, and its pass share.
+// The quota of a customer: its token bucket, projected from the meter's readings, and its pass probability.
 
 const (
-	readingAge = 2       // meter periods from the end of a period until its reading is counted here
-	margin     = 1.0 / 8 // share of the burst that the projection must leave: other gateways are unseen
-	priorUse   = 40      // percent of its rate that a customer is taken to use before any reading
-	mostDraws  = 64      // own sends kept for a customer between readings, so memory stays bounded
-	shareDecay = 0.9     // how fast the customer's share at this gateway is relearnt, a reading
+	readingDelay    = 2       // meter periods from the end of a period until its reading is counted here
+	bucketMargin    = 1.0 / 8 // share of the burst that the projection must leave for unseen gateways
+	priorUsePercent = 40      // assumed use of a customer before any reading, percent of its rate
+	maxRecentSends  = 64      // own sends kept of a customer between readings, to bound the memory
+	readingDecay    = 0.9     // factor per reading on the weight of earlier readings
 )
 
-func (g *Gateway) customer(ev Request, plan *Plan) *customer {
+// customerFor returns the customer of a request, creating it if it is new or its plan has changed.
+func (g *Gateway) customerFor(ev Request, plan *Plan) *customer {
 	c := g.customers[ev.Customer]
 	if c == nil || c.plan != plan {
-		doors := min(max(ev.Spread, 1), g.settings.Gateways)
-		all := g.settings.Gateways
-		offset := ((g.settings.Me-ev.FirstGateway)%all + all) % all
-		c = &customer{plan: plan, gateways: float64(doors), passShare: 1, bucketAt: g.now,
-			period: g.settings.MeterPeriod.Seconds()}
-		set := shares.Set{Gateways: doors, Offset: offset, Customer: uint64(ev.Customer)}
+		gatewayCount := min(max(ev.GatewayCount, 1), g.settings.Gateways)
+		fleetSize := g.settings.Gateways
+		offset := ((g.settings.Index-ev.FirstGateway)%fleetSize + fleetSize) % fleetSize
+		c = &customer{plan: plan, gateways: float64(gatewayCount), passProbability: 1, meteredUntil: g.now,
+			meterPeriod: g.settings.MeterPeriod.Seconds()}
+		set := shares.Set{Gateways: gatewayCount, Offset: offset, Customer: uint64(ev.Customer)}
 		c.limits = g.newLimits(plan, set)
-		c.bucket = c.capacity()
+		c.meteredLevel = c.capacity()
 		g.customers[ev.Customer] = c
 	}
-	c.seen, c.units = g.now, max(ev.Units, 1e-6)
+	c.lastSeen, c.lastUnits = g.now, max(ev.Units, 1e-6)
 	return c
 }
 
-// capacity is the burst in percent-seconds of the rate.
+// capacity returns the burst in percent-seconds of the rate, 0 without a rate.
 func (c *customer) capacity() float64 {
 	if c.plan.Rate <= 0 {
 		return 0
@@ -43,100 +44,109 @@
 	return 100 * c.plan.Burst / c.plan.Rate
 }
 
-// fleetShare is what the customer uses over all gateways for each unit sent here, learnt from the readings;
-// before any, as if it were spread evenly.
-func (c *customer) fleetShare() float64 {
-	const prior = 100 // percent-seconds: one second of the plan's rate
-	return max(1, (c.metered+c.gateways*prior)/(c.own+prior))
+// fleetMultiple returns the customer's use over all gateways for each unit sent through this one, learnt from
+// the readings. Before any reading it assumes that the customer uses its gateways equally.
+func (c *customer) fleetMultiple() float64 {
+	const priorUse = 100 // percent-seconds: one second of the plan's rate
+	return max(1, (c.meteredUse+c.gateways*priorUse)/(c.ownUse+priorUse))
 }
 
-// bucketLevel is the bucket at time t: that of the last metered period, filled since, less what was sent on
-// since.
-func (c *customer) bucketLevel(t time.Duration) float64 {
-	steady, each := c.otherUse(t)
-	s, at := c.bucket, c.bucketAt
-	for _, d := range c.recentSends {
-		if d.at > t {
+// bucketLevel projects the level of the customer's token bucket to the given time, in percent-seconds: the
+// level at the end of the last metered period, refilled since, less the use through all gateways since.
+func (c *customer) bucketLevel(at time.Duration) float64 {
+	steadyPercent, perSend := c.otherUse(at)
+	level, levelAt := c.meteredLevel, c.meteredUntil
+	for _, sent := range c.recentSends {
+		if sent.at > at {
 			break
 		}
-		s = max(0, min(c.capacity(), s+(100-steady)*(d.at-at).Seconds())-(1+each)*d.percentSeconds)
-		at = d.at
+		level = max(0, min(c.capacity(), level+(100-steadyPercent)*(sent.at-levelAt).Seconds())-
+			(1+perSend)*sent.percentSeconds)
+		levelAt = sent.at
 	}
-	return max(0, min(c.capacity(), s+(100-steady)*(t-at).Seconds()))
+	return max(0, min(c.capacity(), level+(100-steadyPercent)*(at-levelAt).Seconds()))
 }
 
-// otherUse is the use of the other gateways since the last metered period: steadily, in percent of the
-// rate, and with each of this gateway's own sends. The readings' fading mean, begun with one request of a
-// customer that uses priorUse, counts as one more request; this gateway's sends tell of its share of the
-// time only. So each weighs what it tells: of two gateways nearly all is told by the sends, of 300 nearly
-// all by the readings.
-func (c *customer) otherUse(t time.Duration) (steady, each float64) {
-	k, since := c.fleetShare(), max(0, (t-c.bucketAt).Seconds())
-	fade := math.Pow(shareDecay, since/max(c.period, 1e-3))
-	one := 100 * c.units / c.plan.Rate
-	// one of two gateways meets everybody; one of many meets few, and mostly those who ask for the most
-	met := 100 * c.usage.meanUse()
-	prior := met - (met-priorUse)*min(1, 2/c.gateways)
-	mean := (one + fade*c.metered) / (one/prior + fade*c.meteredFor)
-	since = max(since, readingAge*c.period) // a burst at once tells as much as one that took so long
-	own := since / k / (one/mean + since/k) // the sends' weight
-	return mean * (1 - own) * (k - 1) / k, own * (k - 1)
+// otherUse estimates the use through the other gateways since the last metered period, in two parts: a steady
+// one, in percent of the rate, and one per send, as a multiple of each send of this gateway. Two estimates
+// are combined. The decaying mean of the readings, which begins with one request of a customer that uses
+// priorPercent, counts as one more request. The sends of this gateway are evidence only for its own share of
+// the time. Each is weighted by the evidence behind it: with two gateways nearly all of the weight is on the
+// sends, with 300 nearly all of it is on the readings.
+func (c *customer) otherUse(at time.Duration) (steadyPercent, perSend float64) {
+	fleetMultiple, elapsed := c.fleetMultiple(), max(0, (at-c.meteredUntil).Seconds())
+	decay := math.Pow(readingDecay, elapsed/max(c.meterPeriod, 1e-3))
+	requestUse := 100 * c.lastUnits / c.plan.Rate
+	// One of two gateways meets every customer. One of many meets few, mostly those that send the most.
+	metPercent := 100 * c.usage.meanUtilization()
+	priorPercent := metPercent - (metPercent-priorUsePercent)*min(1, 2/c.gateways)
+	meanPercent := (requestUse + decay*c.meteredUse) / (requestUse/priorPercent + decay*c.meteredTime)
+	elapsed = max(elapsed, readingDelay*c.meterPeriod) // a burst counts as if it had taken this long
+	// ownWeight is the weight of this gateway's sends.
+	ownWeight := elapsed / fleetMultiple / (requestUse/meanPercent + elapsed/fleetMultiple)
+	return meanPercent * (1 - ownWeight) * (fleetMultiple - 1) / fleetMultiple,
+		ownWeight * (fleetMultiple - 1)
 }
 
-// withinQuota is the design's quota rule: f is 1 while the bucket holds something, else requests pass with
-// chance f. Exception: readings come late and a short burst is over before one tells of it, so while the
-// store is above 0 what was sent on since the last metered period is taken off it, over all gateways.
+// withinQuota reports whether a request is within the customer's quota. By the design's rule, all requests
+// pass while the metered level of the bucket is above 0, else a request passes with the probability f
+// (passProbability). An exception is made because readings come late and a short burst is over before one
+// shows it: a request must also be covered by the projected level, from which the use over all gateways since
+// the last metered period is subtracted.
 func (g *Gateway) withinQuota(c *customer, units float64) bool {
-	// f binds while readings come: they come with answers, and so much may be refused that there are none
-	heard := g.now-c.readAt <= 2*readingAge*g.settings.MeterPeriod
-	if heard && (c.plan.Rate <= 0 || c.bucket <= 0) && g.rng.Float64() >= c.passShare {
+	// The pass probability applies only while readings come. They come with answers, so by rejecting too much
+	// it could otherwise stop both for good.
+	hasReadings := g.now-c.lastReadingAt <= 2*readingDelay*g.settings.MeterPeriod
+	if hasReadings && (c.plan.Rate <= 0 || c.meteredLevel <= 0) && g.rng.Float64() >= c.passProbability {
 		return false
 	}
-	return c.plan.Rate <= 0 || c.bucketLevel(g.now) >= c.neededLevel(units+c.queuedUnits())
+	return c.plan.Rate <= 0 || c.bucketLevel(g.now) >= c.requiredLevel(units+c.queuedUnits())
 }
 
-// onReading counts one reading of the meter for each period, though many answers repeat it; they jitter,
-// and come out of order. None counts for a period that has not ended: one before it is told again. Else
-// storeAt would run ahead of the clock, and the bucket would stand still for good.
-func (g *Gateway) onReading(c *customer, use float64) {
-	p := g.settings.MeterPeriod
-	if p <= 0 || c.meteredFor > 0 && (g.now-c.readAt < p/2 || use == c.lastReading && g.now-c.readAt < p ||
-		c.bucketAt+p > g.now) {
+// onReading counts a reading of the meter. Only one is counted per period, though many answers repeat it,
+// with jitter and out of order. A reading is not counted for a period that has not ended yet, as it repeats
+// that of an earlier period: otherwise meteredUntil would run ahead of the clock, and the bucket would never
+// refill again.
+func (g *Gateway) onReading(c *customer, usagePercent float64) {
+	period := g.settings.MeterPeriod
+	if period <= 0 || c.meteredTime > 0 && (g.now-c.lastReadingAt < period/2 ||
+		usagePercent == c.lastReading && g.now-c.lastReadingAt < period || c.meteredUntil+period > g.now) {
 		return
 	}
-	if c.meteredFor == 0 {
-		c.followedFrom = g.now - p
+	if c.meteredTime == 0 {
+		c.meteredSince = g.now - period
 	}
-	c.readAt, c.lastReading = g.now, use
-	// a reading is taken to be readingAge old; of a gap before it only this gateway's own sends are known
-	from := max(c.bucketAt, g.now-(1+readingAge)*p)
+	c.lastReadingAt, c.lastReading = g.now, usagePercent
+	// The period of a reading is assumed to have ended readingDelay periods ago. If readings are missing
+	// before it, the bucket is projected over the gap from this gateway's own sends.
+	periodStart := max(c.meteredUntil, g.now-(1+readingDelay)*period)
 	if c.plan.Rate > 0 {
-		c.bucket = c.bucketLevel(from)
+		c.meteredLevel = c.bucketLevel(periodStart)
 	}
-	c.bucketAt = from + p
-	own := 0.0
-	c.recentSends = slices.DeleteFunc(c.recentSends, func(d sentUnits) bool {
-		if d.at > from && d.at <= c.bucketAt {
-			own += d.percentSeconds
+	c.meteredUntil = periodStart + period
+	ownUse := 0.0
+	c.recentSends = slices.DeleteFunc(c.recentSends, func(sent sentUnits) bool {
+		if sent.at > periodStart && sent.at <= c.meteredUntil {
+			ownUse += sent.percentSeconds
 		}
-		return d.at <= c.bucketAt
+		return sent.at <= c.meteredUntil
 	})
 	if c.plan.Rate <= 0 {
-		latest := g.readingLikelihood(c, use/100)
-		for i := range latest {
-			if c.meteredFor > 0 {
-				latest[i] *= math.Pow(c.readings[i], shareDecay)
+		likelihood := g.readingLikelihood(c, usagePercent/100)
+		for i := range likelihood {
+			if c.meteredTime > 0 {
+				likelihood[i] *= math.Pow(c.readingsLikelihood[i], readingDecay)
 			}
-			c.readings[i] = latest[i]
+			c.readingsLikelihood[i] = likelihood[i]
 		}
 	}
-	c.metered = shareDecay*c.metered + use*p.Seconds()
-	c.meteredFor = shareDecay*c.meteredFor + p.Seconds()
-	c.own = shareDecay*c.own + own
-	c.bucket = max(0, min(c.capacity(), c.bucket+(100-use)*p.Seconds()))
-	if c.bucket > 0 || use <= 0 {
-		c.passShare = 1
+	c.meteredUse = readingDecay*c.meteredUse + usagePercent*period.Seconds()
+	c.meteredTime = readingDecay*c.meteredTime + period.Seconds()
+	c.ownUse = readingDecay*c.ownUse + ownUse
+	c.meteredLevel = max(0, min(c.capacity(), c.meteredLevel+(100-usagePercent)*period.Seconds()))
+	if c.meteredLevel > 0 || usagePercent <= 0 {
+		c.passProbability = 1
 	} else {
-		c.passShare = min(1, c.passShare*100/use)
+		c.passProbability = min(1, c.passProbability*100/usagePercent)
 	}
 }
--- a/internal/gateway/quota_test.go
+++ b/internal/gateway/quota_test.go
@@ -25,15 +25,15 @@
 		r.reading(c, 300)
 		r.now += 50 * ms
 	}
-	if c.bucket != 0 { // 200 + 100 - 300
-		t.Errorf("store %v after one reading of 300, repeated; want 0", c.bucket)
+	if c.meteredLevel != 0 { // 200 + 100 - 300
+		t.Errorf("store %v after one reading of 300, repeated; want 0", c.meteredLevel)
 	}
 	r.now += second
 	for range 3 {
 		r.reading(c, 60)
 	}
-	if math.Abs(c.bucket-65) > 30 { // the 0.25 s between the periods fill it too
-		t.Errorf("store %v after one reading of 60, want about 65", c.bucket)
+	if math.Abs(c.meteredLevel-65) > 30 { // the 0.25 s between the periods fill it too
+		t.Errorf("store %v after one reading of 60, want about 65", c.meteredLevel)
 	}
 }
 
@@ -41,10 +41,10 @@
 	r, c := quotaRig(t)
 	for _, step := range []struct{ use, want float64 }{{500, 0.2}, {200, 0.1}, {0, 1}} {
 		r.now += second
-		c.bucket, c.bucketAt = 0, r.now-(1+readingAge)*second // as a period ago
+		c.meteredLevel, c.meteredUntil = 0, r.now-(1+readingDelay)*second // as a period ago
 		r.reading(c, step.use)
-		if math.Abs(c.passShare-step.want) > 0.01 {
-			t.Errorf("after a reading of %v the pass share is %v, want %v", step.use, c.passShare, step.want)
+		if math.Abs(c.passProbability-step.want) > 0.01 {
+			t.Errorf("after a reading of %v the pass share is %v, want %v", step.use, c.passProbability, step.want)
 		}
 	}
 }
@@ -54,12 +54,12 @@
 	for _, use := range []float64{9000, 0, 0, 0, 700, 100, 0, 0, 0, 0, 0} {
 		r.now += second
 		r.reading(c, use)
-		if c.bucket < 0 || c.bucket > c.capacity() {
-			t.Errorf("store %v after a reading of %v", c.bucket, use)
+		if c.meteredLevel < 0 || c.meteredLevel > c.capacity() {
+			t.Errorf("store %v after a reading of %v", c.meteredLevel, use)
 		}
 	}
-	if c.bucket != c.capacity() {
-		t.Errorf("store %v after five idle periods, want the burst", c.bucket)
+	if c.meteredLevel != c.capacity() {
+		t.Errorf("store %v after five idle periods, want the burst", c.meteredLevel)
 	}
 }
 
@@ -80,7 +80,7 @@
 func TestProjectionBindsWhereTheStoreIsEmpty(t *testing.T) {
 	r, c := quotaRig(t)
 	r.now += second
-	c.bucket, c.bucketAt, c.passShare, c.recentSends = 0, r.now, 1, nil
+	c.meteredLevel, c.meteredUntil, c.passProbability, c.recentSends = 0, r.now, 1, nil
 	_, as := r.ask("safe", "rated", 5)
 	if len(sends(as)) != 0 {
 		t.Error("passed with nothing in the store because f stood at 1")
@@ -95,7 +95,7 @@
 	for range 200 {
 		r.ask("safe", "rated", 5)
 	}
-	c.passShare = 0.001
+	c.passProbability = 0.001
 	r.now += 8 * second
 	_, as := r.ask("safe", "rated", 5)
 	if len(sends(as)) != 1 {
@@ -109,7 +109,7 @@
 // The margin is a part of the burst: half a request used to bar the largest requests of small plans.
 func TestLargestRequestsPassAFullStore(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(2)...)
-	as := r.do(Request{ID: 900, Customer: 8, Class: "safe", Plan: "rated", Units: 3.5, Patience: second, Spread: 2})
+	as := r.do(Request{ID: 900, Customer: 8, Class: "safe", Plan: "rated", Units: 3.5, Timeout: second, GatewayCount: 2})
 	if len(sends(as)) != 1 {
 		t.Error("a request of 3.5 units refused with a full store of 4")
 	}
@@ -121,8 +121,8 @@
 	c := r.g.customers[4]
 	r.now += second
 	r.reading(c, 400)
-	if len(sends(as)) != 1 || c.passShare > 0.26 || time.Duration(c.bucket) != 0 {
-		t.Errorf("sends %v, pass share %v, store %v", sends(as), c.passShare, c.bucket)
+	if len(sends(as)) != 1 || c.passProbability > 0.26 || time.Duration(c.meteredLevel) != 0 {
+		t.Errorf("sends %v, pass share %v, store %v", sends(as), c.passProbability, c.meteredLevel)
 	}
 }
 
@@ -132,12 +132,12 @@
 	r, c := quotaRig(t)
 	r.now += 10 * second
 	r.reading(c, 40)
-	counted := c.readAt
+	counted := c.lastReadingAt
 	r.now += 800 * ms
-	if r.reading(c, 40); c.readAt != counted {
+	if r.reading(c, 40); c.lastReadingAt != counted {
 		t.Error("the same value within a period was counted again")
 	}
-	if r.reading(c, 70); c.readAt == counted {
+	if r.reading(c, 70); c.lastReadingAt == counted {
 		t.Error("a new value after most of a period was not counted")
 	}
 }
@@ -146,19 +146,19 @@
 // once, and what was counted last ended before now.
 func TestReadingsOutOfOrderCountOncePerPeriod(t *testing.T) {
 	r := newRig(t, testSettings(), fleet(2)...)
-	c := r.g.customer(Request{Customer: 1, Units: 1, Spread: 1}, r.g.plans["rated"])
+	c := r.g.customerFor(Request{Customer: 1, Units: 1, GatewayCount: 1}, r.g.plans["rated"])
 	start := r.now
 	counted := 0
 	for i := range 400 {
 		r.now += 50 * ms
 		r.g.now = r.now
-		before := c.meteredFor
+		before := c.meteredTime
 		r.g.onReading(c, float64(40+i%2))
-		if c.meteredFor != before {
+		if c.meteredTime != before {
 			counted++
 		}
-		if c.bucketAt > r.now && r.now-start > second { // a new customer's first reading covers its first period
-			t.Fatalf("after %v the store is that of %v ahead", r.now-start, c.bucketAt-r.now)
+		if c.meteredUntil > r.now && r.now-start > second { // a new customer's first reading covers its first period
+			t.Fatalf("after %v the store is that of %v ahead", r.now-start, c.meteredUntil-r.now)
 		}
 	}
 	if least, most := 16, 21; counted < least || counted > most {
@@ -175,7 +175,7 @@
 	s.Gateways = doors
 	rigs := make([]*rig, doors)
 	for i := range rigs {
-		s.Me = i
+		s.Index = i
 		rigs[i] = newRig(t, s, fleet(2)...)
 	}
 	asked, let := 0, 0
@@ -183,12 +183,12 @@
 		r := rigs[n%doors]
 		r.now = 1000*second + time.Duration(n)*100*ms
 		r.next++
-		as := r.do(Request{ID: r.next, Customer: 5, Class: "safe", Plan: "rated", Units: 1, Patience: second, Spread: doors})
+		as := r.do(Request{ID: r.next, Customer: 5, Class: "safe", Plan: "rated", Units: 1, Timeout: second, GatewayCount: doors})
 		if n >= 50 {
 			asked, let = asked+1, let+len(sends(as))
 		}
 		for _, a := range sends(as) {
-			r.do(Outcome{Request: a.Request, Backend: a.Backend, Took: 50 * ms, Final: true, HasUse: use >= 0, Use: use})
+			r.do(Outcome{Request: a.Request, Backend: a.Backend, Duration: 50 * ms, Final: true, HasUsage: use >= 0, UsagePercent: use})
 		}
 	}
 	return float64(let) / float64(asked)
@@ -201,10 +201,10 @@
 		s := testSettings()
 		s.Gateways = doors
 		r := newRig(t, s, fleet(2)...)
-		r.do(Request{ID: 1, Customer: 5, Class: "safe", Plan: "rated", Units: 1, Patience: second, Spread: doors})
+		r.do(Request{ID: 1, Customer: 5, Class: "safe", Plan: "rated", Units: 1, Timeout: second, GatewayCount: doors})
 		c := r.g.customers[5]
 		steady, each := c.otherUse(r.now)
-		if use := steady + each*priorUse; use < least || doors == 2 && use > 60 {
+		if use := steady + each*priorUsePercent; use < least || doors == 2 && use > 60 {
 			t.Errorf("%d doors: the others are taken to use %.0f in 100 of the rate", doors, use)
 		}
 	}
--- a/internal/gateway/reserves.go
+++ b/internal/gateway/reserves.go
@@ -7,100 +7,111 @@
 	"herontiller/internal/reservation"
 )
 
-// The reserves of the two tiers and the pool, of the N slots, and sub-rating. Comments mark departures from
+// The N slots of the concurrency limit are split into reserves of the high and the low tier and a shared
+// pool, with sub-rating, as in the paper that package reservation implements. Comments mark the exceptions to
 // the paper.
 
 const (
-	alpha      = 2   // low requests marked for one high one; the paper's own figure
-	splitSteps = 20  // the split is searched in steps of N over this
-	fewSlots   = 8.0 // a part of fewer slots is held on average, over that many mean services
+	subratedPerHigh = 2   // alpha, low requests that are sub-rated for one high request; the paper's value
+	splitSteps      = 20  // the best split is searched in steps of N/splitSteps
+	minExactSlots   = 8.0 // fewer slots are limited on average, over about minExactSlots/size services
 )
 
-// takeSlot gives a slot of the tier's own reserve, else of the pool, else (high only) by sub-rating. A marked
-// low request counts 1-1/alpha in the pool, so that marking alpha of them lets the pool run one over.
-func (g *Gateway) takeSlot(high bool) *slot {
-	own := lowReserve
-	if high {
-		own = highReserve
+// takeSlot returns a slot of the tier's own reserve, else of the pool, else (for the high tier) one that is
+// gained by sub-rating, or nil. A marked low request counts as 1-1/subratedPerHigh slots of the pool, so
+// marking subratedPerHigh of them makes room for one more.
+func (g *Gateway) takeSlot(highValue bool) *heldSlot {
+	reserve := lowReserve
+	if highValue {
+		reserve = highReserve
 	}
-	g.average()
-	part := sharedPool
-	if g.fits(own) {
-		part = own
-	} else if !g.fits(sharedPool) && (!high || !g.subrate()) {
+	g.updateMeanInUse()
+	partition := sharedPool
+	if g.hasRoom(reserve) {
+		partition = reserve
+	} else if !g.hasRoom(sharedPool) && (!highValue || !g.subrate()) {
 		return nil
 	}
-	s := &slot{part: part}
-	g.inUse[part]++
-	if part == sharedPool && !high && !math.IsInf(g.limit, 1) {
-		g.unmarked = append(g.unmarked, s)
+	slot := &heldSlot{partition: partition}
+	g.inUse[partition]++
+	if partition == sharedPool && !highValue && !math.IsInf(g.concurrencyLimit, 1) {
+		g.unmarkedSlots = append(g.unmarkedSlots, slot)
 	}
-	return s
+	return slot
 }
 
-// average brings busy up to now. Exception: with many gateways each has a slot or less of the back end. As
-// they even each other out, a small part is held on average instead of at every moment.
-func (g *Gateway) average() {
-	dt := (g.now - g.meanInUseAt).Seconds()
+// updateMeanInUse brings meanInUse up to date. Exception to the paper: with many gateways, each of them has
+// about one slot of the back end or less. Their deviations cancel out, so a small partition is limited on
+// average instead of at every moment.
+func (g *Gateway) updateMeanInUse() {
+	elapsed := (g.now - g.meanInUseAt).Seconds()
 	g.meanInUseAt = g.now
-	pool := float64(g.inUse[sharedPool]) - float64(g.marked)/alpha
-	for p, use := range [3]float64{float64(g.inUse[highReserve]), float64(g.inUse[lowReserve]), pool} {
-		window := g.bestLatency * (fewSlots/max(g.partSize[p], 1e-3) - 1)
-		if g.partSize[p] >= fewSlots {
-			g.meanInUse[p] = use
+	pool := float64(g.inUse[sharedPool]) - float64(g.markedCount)/subratedPerHigh
+	for partition, inUse := range [3]float64{
+		float64(g.inUse[highReserve]), float64(g.inUse[lowReserve]), pool,
+	} {
+		window := g.minLatency * (minExactSlots/max(g.partitionSize[partition], 1e-3) - 1)
+		if g.partitionSize[partition] >= minExactSlots {
+			g.meanInUse[partition] = inUse
 		} else {
-			g.meanInUse[p] = use + (g.meanInUse[p]-use)*math.Exp(-dt/window)
+			g.meanInUse[partition] = inUse + (g.meanInUse[partition]-inUse)*math.Exp(-elapsed/window)
 		}
 	}
 }
 
-// fits tells whether a part has room for one more: a whole slot, or of a small part the part of its window.
-func (g *Gateway) fits(part int) bool {
-	size := g.partSize[part]
-	return g.meanInUse[part]+min(1, size/fewSlots) <= size+1e-9 && size > 1e-6
+// hasRoom reports whether a partition has room for one more attempt: a whole slot, or in a small partition
+// the fraction of a slot that an attempt takes up in its averaging window.
+func (g *Gateway) hasRoom(partition int) bool {
+	size := g.partitionSize[partition]
+	return g.meanInUse[partition]+min(1, size/minExactSlots) <= size+1e-9 && size > 1e-6
 }
 
-// subrate marks the alpha oldest unmarked low requests of the pool, or none if there are fewer.
+// subrate marks the subratedPerHigh oldest unmarked low requests of the pool and reports whether it did. It
+// marks none if there are fewer or the pool is above its size.
 func (g *Gateway) subrate() bool {
-	g.unmarked = slices.DeleteFunc(g.unmarked, func(s *slot) bool { return s.freed })
-	if len(g.unmarked) < alpha || g.meanInUse[sharedPool] > g.partSize[sharedPool]+1e-9 {
+	g.unmarkedSlots = slices.DeleteFunc(g.unmarkedSlots, func(slot *heldSlot) bool { return slot.freed })
+	if len(g.unmarkedSlots) < subratedPerHigh || g.meanInUse[sharedPool] > g.partitionSize[sharedPool]+1e-9 {
 		return false
 	}
-	for _, s := range g.unmarked[:alpha] {
-		s.marked = true
+	for _, slot := range g.unmarkedSlots[:subratedPerHigh] {
+		slot.marked = true
 	}
-	g.marked += alpha
-	g.unmarked = slices.Delete(g.unmarked, 0, alpha)
+	g.markedCount += subratedPerHigh
+	g.unmarkedSlots = slices.Delete(g.unmarkedSlots, 0, subratedPerHigh)
 	return true
 }
 
-func (g *Gateway) freeSlot(s *slot) {
-	s.freed = true
-	g.inUse[s.part]--
-	if s.marked {
-		g.marked--
+// freeSlot releases a slot after its attempt has ended.
+func (g *Gateway) freeSlot(slot *heldSlot) {
+	slot.freed = true
+	g.inUse[slot.partition]--
+	if slot.marked {
+		g.markedCount--
 	}
 }
 
-// resplit picks the split that the paper's Method II values highest for the last window's load.
+// resplit measures the load of the tiers in the window since the last call and splits the slots for it.
 func (g *Gateway) resplit() {
 	for i := range g.tiers {
-		t := &g.tiers[i]
-		t.rate = t.arrivals / (g.now - g.splitAt).Seconds()
-		if t.arrivals > 0 {
-			t.mean = t.worth / t.arrivals
+		tier := &g.tiers[i]
+		tier.arrivalRate = tier.arrivals / (g.now - g.lastSplitAt).Seconds()
+		if tier.arrivals > 0 {
+			tier.meanValue = tier.value / tier.arrivals
 		}
-		t.arrivals, t.worth = 0, 0
+		tier.arrivals, tier.value = 0, 0
 	}
-	g.splitAt = g.now
-	g.split()
+	g.lastSplitAt = g.now
+	g.applySplit()
 }
 
-// split leaves requests where they are: a part that shrank below its use takes no more until it drains.
-func (g *Gateway) split() {
+// applySplit sets the sizes of the partitions to the split that the paper's Method II values highest for the
+// load of the tiers. Attempts in flight keep their slots: a partition that is now smaller than its use takes
+// no more until it drains.
+func (g *Gateway) applySplit() {
 	low, high := g.tiers[0], g.tiers[1]
-	mu := 1 / max(g.meanLatency, 1e-6)
-	nh, nl := reservation.Split(g.limit, reservation.Load{High: high.rate, Low: low.rate, Service: mu,
-		HighValue: max(high.mean, low.mean), LowValue: low.mean}, alpha, splitSteps)
-	g.partSize = [3]float64{nh, nl, g.limit - nh - nl}
+	serviceRate := 1 / max(g.meanLatency, 1e-6)
+	highSlots, lowSlots := reservation.Split(g.concurrencyLimit, reservation.Load{
+		High: high.arrivalRate, Low: low.arrivalRate, Service: serviceRate,
+		HighValue: max(high.meanValue, low.meanValue), LowValue: low.meanValue}, subratedPerHigh, splitSteps)
+	g.partitionSize = [3]float64{highSlots, lowSlots, g.concurrencyLimit - highSlots - lowSlots}
 }
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -8,25 +8,25 @@
 // A gateway by itself, with the helpers that most tests use.
 
 func testSettings() Settings {
-	return Settings{Gateways: 2, Zone: "z1", MeterPeriod: second, LargestUnits: 2, MaxAttempts: 3,
-		ParallelTries: true, CanCancel: true, AnswerGrace: 16 * ms, DrainGrace: second, ColdFrom: 0.2,
-		WarmWithin: 10 * second, FallMultiple: 2.5, FallFor: second, MaxRetryAfter: second,
+	return Settings{Gateways: 2, Zone: "z1", MeterPeriod: second, MaxRequestUnits: 2, MaxAttempts: 3,
+		ParallelAttempts: true, CanCancel: true, AnswerGrace: 16 * ms, DrainGrace: second, ColdCapacity: 0.2,
+		WarmUpTime: 10 * second, OverloadMultiple: 2.5, OverloadTime: second, MaxRetryAfter: second,
 		Classes: []Class{
-			{Name: "safe", Effect: Safe, Aim: 2 * second, Deadline: 6 * second, Worth: 1},
-			{Name: "dear", Effect: Safe, Aim: 2 * second, Deadline: 6 * second, Worth: 5},
-			{Name: "once", Effect: Unsafe, Aim: 2 * second, Deadline: 6 * second, Worth: 3},
-			{Name: "keyed", Effect: Keyed, Group: GroupAll, KeyWindow: 3 * second, Aim: 2 * second,
-				Deadline: 6 * second, Worth: 3},
-			{Name: "celled", Effect: Keyed, Group: GroupCell, KeyWindow: 3 * second, Aim: 2 * second,
-				Deadline: 6 * second, Worth: 3},
-			{Name: "zoned", Effect: Keyed, Group: GroupZone, KeyWindow: 3 * second, Aim: 2 * second,
-				Deadline: 6 * second, Worth: 3},
+			{Name: "safe", Effect: Safe, TargetLatency: 2 * second, Deadline: 6 * second, Value: 1},
+			{Name: "dear", Effect: Safe, TargetLatency: 2 * second, Deadline: 6 * second, Value: 5},
+			{Name: "once", Effect: Unsafe, TargetLatency: 2 * second, Deadline: 6 * second, Value: 3},
+			{Name: "keyed", Effect: Deduplicated, Scope: ScopeAll, DedupWindow: 3 * second, TargetLatency: 2 * second,
+				Deadline: 6 * second, Value: 3},
+			{Name: "celled", Effect: Deduplicated, Scope: ScopeCell, DedupWindow: 3 * second, TargetLatency: 2 * second,
+				Deadline: 6 * second, Value: 3},
+			{Name: "zoned", Effect: Deduplicated, Scope: ScopeZone, DedupWindow: 3 * second, TargetLatency: 2 * second,
+				Deadline: 6 * second, Value: 3},
 		},
 		Plans: []Plan{
-			{Name: "wide", Rate: 1000, Burst: 1000, Price: 1},
-			{Name: "rated", Rate: 2, Burst: 4, Price: 1},
-			{Name: "capped", Rate: 100, Burst: 100, Price: 1, CeilingRate: 4, CeilingBurst: 8, CeilingSlack: 1},
-			{Name: "open", Open: 4, Price: 1},
+			{Name: "wide", Rate: 1000, Burst: 1000, ValueFactor: 1},
+			{Name: "rated", Rate: 2, Burst: 4, ValueFactor: 1},
+			{Name: "capped", Rate: 100, Burst: 100, ValueFactor: 1, CeilingRate: 4, CeilingBurst: 8, CeilingSlack: 1},
+			{Name: "open", MaxInFlight: 4, ValueFactor: 1},
 		}}
 }
 
@@ -65,7 +65,7 @@
 func (r *rig) ask(class, plan string, customer CustomerID) (RequestID, []Action) {
 	r.next++
 	return r.next, r.do(Request{ID: r.next, Customer: customer, Class: class, Plan: plan, Units: 1,
-		Patience: 6 * second, Spread: 2})
+		Timeout: 6 * second, GatewayCount: 2})
 }
 
 func sends(as []Action) (out []Send) {
@@ -90,5 +90,5 @@
 }
 
 func (r *rig) outcome(id RequestID, b BackendID, try int, res Result) []Action {
-	return r.do(Outcome{Request: id, Backend: b, Attempt: try, Result: res, Took: 100 * ms, Final: res == Answered})
+	return r.do(Outcome{Request: id, Backend: b, Attempt: try, Result: res, Duration: 100 * ms, Final: res == Answered})
 }
--- a/internal/gateway/selection_test.go
+++ b/internal/gateway/selection_test.go
@@ -94,7 +94,7 @@
 	}{{8, 1, 2, 8}, {1, 8, 2, 30}, {75, 9, 4, 30}} {
 		r := newRig(t, testSettings(), fleet(2)...)
 		b := r.g.backends[1]
-		b.overdue, b.slow, r.g.classes["safe"].latency = c.owed, c.slow, 0.1
+		b.overdue, b.slowness, r.g.classes["safe"].meanLatency = c.owed, c.slow, 0.1
 		n := 0
 		for to := BackendID(2); to != 1; n++ {
 			if n > c.most {
@@ -120,7 +120,7 @@
 	infos := fleet(backends)
 	sent := [2]int{} // to warm and to cold ones
 	for door := range doors {
-		s.Me = door
+		s.Index = door
 		r := newRig(t, s, infos...)
 		r.g.rng = rand.New(rand.NewPCG(uint64(door), 3))
 		ticked := r.now
@@ -133,7 +133,7 @@
 				id, as := r.ask("safe", "wide", 1)
 				for _, a := range sends(as) {
 					if count {
-						sent[b2i(a.Backend <= replaced)]++
+						sent[boolToInt(a.Backend <= replaced)]++
 					}
 					r.now += 50 * ms
 					r.outcome(id, a.Backend, 0, Answered)
--- a/internal/gateway/staleness.go
+++ b/internal/gateway/staleness.go
@@ -1,35 +1,37 @@
 package gateway
 
-// Staleness of the list of backends, where it has to be asked for.
+// Staleness of the list of backends, where it must be subscribed to.
 //
-// Discovery may be down, or have too much to do, for longer than a change may go unnoticed. A list that is older
-// than its lease can't tell which backends drain by now, and neither can one from before this process started: its
-// age is not known. Then only a backend that serves an attempt proves by it that it was not draining when that was
-// sent, or had begun to a short while before. One without proof is sent nothing, and a request for which there is no
-// other is rejected at once.
+// Discovery may be down or overloaded for longer than a change of the list may go unnoticed. A list that is older than
+// its lease does not show which backends drain by now, and neither does one that was saved before this process
+// started, as its age is not known. Then only an answer of a backend proves that it was not draining when the attempt
+// was sent, or had begun to only shortly before. A backend without such proof is sent nothing, and a request for which
+// there is no other backend is rejected at once.
 
-// answerLease is the share of ListLease for which an answer proves that, from when its attempt was sent: backends
-// that drain were seen to serve new requests for up to 2.1 s after discovery had listed them.
-const answerLease = 1.0 / 2
+// answerLeaseShare is the share of ListLease for which an answer proves that its backend is not draining, from when
+// the attempt was sent. It is less than 1 because draining backends were seen to serve new requests for up to 2.1 s
+// after discovery had listed them as draining.
+const answerLeaseShare = 1.0 / 2
 
-// confirm starts the list's lease anew: discovery has told all that it has.
-func (g *Gateway) confirm(kind ListKind) {
+// renewListLease renews the lease of the list if the update shows that discovery has sent all that it has.
+func (g *Gateway) renewListLease(kind ListKind) {
 	if kind == ListChanges || kind == ListFull {
-		g.listUntil = g.now + g.settings.ListLease
+		g.listValidUntil = g.now + g.settings.ListLease
 	}
 }
 
-// proveFresh takes what the end of an attempt tells of whether its backend drains.
-func (g *Gateway) proveFresh(t *attempt) {
-	switch t.result {
+// updateConfirmation updates confirmedUntil of the attempt's backend after the attempt has ended.
+func (g *Gateway) updateConfirmation(attempt *attemptState) {
+	switch attempt.result {
 	case Answered:
-		t.b.provenUntil = max(t.b.provenUntil, t.sent+seconds(answerLease*g.settings.ListLease.Seconds()))
-	case Rejected: // it may drain
-		t.b.provenUntil = 0
+		attempt.backend.confirmedUntil = max(attempt.backend.confirmedUntil,
+			attempt.sentAt+seconds(answerLeaseShare*g.settings.ListLease.Seconds()))
+	case Rejected: // it may be draining
+		attempt.backend.confirmedUntil = 0
 	}
 }
 
-// fresh tells whether the list or an answer vouches for the backend.
-func (g *Gateway) fresh(b *backend) bool {
-	return g.settings.ListLease <= 0 || g.now < max(g.listUntil, b.provenUntil)
+// isConfirmed reports whether a valid list or a recent answer shows that the backend is not draining.
+func (g *Gateway) isConfirmed(b *backend) bool {
+	return g.settings.ListLease <= 0 || g.now < max(g.listValidUntil, b.confirmedUntil)
 }
--- a/internal/gateway/staleness_test.go
+++ b/internal/gateway/staleness_test.go
@@ -10,7 +10,7 @@
 
 func leased() Settings {
 	s := testSettings()
-	s.AskForList, s.ListLease = true, lease
+	s.SubscribeToList, s.ListLease = true, lease
 	return s
 }
 
@@ -86,15 +86,15 @@
 	sent := r.now
 	r.now += 100 * ms
 	r.outcome(id, b, 0, Answered)
-	for r.now < sent+seconds(answerLease*lease.Seconds())-ms {
+	for r.now < sent+seconds(answerLeaseShare*lease.Seconds())-ms {
 		id, other := r.sendTo()
 		if other != b {
 			t.Fatalf("sent to %d, only %d was vouched for", other, b)
 		}
-		r.outcome(id, other, 0, AnsweredErr)
+		r.outcome(id, other, 0, AnsweredError)
 		r.now += 50 * ms
 	}
-	r.now = sent + seconds(answerLease*lease.Seconds())
+	r.now = sent + seconds(answerLeaseShare*lease.Seconds())
 	if _, other := r.sendTo(); other != 0 {
 		t.Error("sent to a backend that nothing vouches for any more")
 	}
@@ -167,10 +167,10 @@
 				i := rng.IntN(len(open))
 				o := open[i]
 				open = append(open[:i], open[i+1:]...)
-				result := []Result{Answered, Answered, Answered, Answered, AnsweredErr, Rejected, NoConnection, Broken}[rng.IntN(8)]
+				result := []Result{Answered, Answered, Answered, Answered, AnsweredError, Rejected, NoConnection, ConnectionBroken}[rng.IntN(8)]
 				switch result {
 				case Answered:
-					good[o.b] = max(good[o.b], o.at+seconds(answerLease*lease.Seconds()))
+					good[o.b] = max(good[o.b], o.at+seconds(answerLeaseShare*lease.Seconds()))
 				case Rejected:
 					good[o.b] = 0
 				}
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -9,175 +9,203 @@
 	"herontiller/internal/stats"
 )
 
-// What a gateway keeps. The decisions and the settings of the policy are in the policy files.
+// The state of a Gateway. The decisions and the constants that tune them are in the policy files.
 
-const highReserve, lowReserve, sharedPool = 0, 1, 2 // parts of the slots
+const highReserve, lowReserve, sharedPool = 0, 1, 2 // indices of the partitions of the slots
 
-type slot struct {
-	part          int
-	marked, freed bool
+// heldSlot is a slot of the concurrency limit that an attempt holds.
+type heldSlot struct {
+	partition int  // highReserve, lowReserve or sharedPool
+	marked    bool // sub-rated in favour of a request of the high tier
+	freed     bool
 }
 
-type class struct {
+// classState is a class and what the gateway has measured of its requests.
+type classState struct {
 	Class
-	admitted, asked      float64    // worth inside quotas, expected, fading
-	shadowPrice          float64    // of what is beyond quotas, see affordable
-	latency, bestLatency float64    // mean latency of answers, seconds; its slowly forgotten low mark
-	first                []*request // sent once, in order; some have ended
+	admittedValue  float64    // expected value within quotas that is admitted, decaying sum
+	requestedValue float64    // value within quotas that is requested, decaying sum
+	shadowPrice    float64    // shadow price of excess for the class, see adjustPrice
+	meanLatency    float64    // running mean latency of answers, seconds
+	minLatency     float64    // lowest meanLatency, rising slowly to follow changes, seconds
+	firstAttempts  []*request // requests by the time of their first attempt, which may have ended
 }
 
+// backend is a backend of the list and what the gateway has measured of it.
 type backend struct {
 	BackendInfo
-	rank        uint64        // this gateway's own order of the backends
-	out         int           // this gateway's attempts out
-	slow        float64       // running mean of latency over its class's mean
-	overdue     float64       // answers owed since the last one, in mean answers
-	overdueAt   time.Duration // when owed was brought up to now
-	holdUntil   time.Duration // no sends before: refused or unreachable
-	provenUntil time.Duration // its last answer vouches for it until then
-	coldSince   time.Duration // when it started, as far as known
-	cold        bool
-	tokens      float64 // sends allowed while cold, as of tokensAt
-	tokensAt    time.Duration
-	lastBadAt   time.Duration // its last bad outcome
-	unreached   int           // failed connections since the last answer
-	outliers    int           // attempts cancelled since the last answer
+	rank            uint64        // position in this gateway's own random order of the backends
+	inFlight        int           // attempts of this gateway in flight
+	slowness        float64       // running mean of the latency over the mean latency of its class
+	overdue         float64       // answers overdue since the last answer, in mean answers
+	overdueAt       time.Duration // when overdue was last updated
+	backoffUntil    time.Duration // nothing is sent before then, as it rejected or could not be reached
+	confirmedUntil  time.Duration // until then its last answer proves that it is not draining
+	coldSince       time.Duration // when its process started, as far as known
+	cold            bool          // still warming up
+	tokens          float64       // sends allowed while cold, as of tokensAt
+	tokensAt        time.Duration
+	lastBadAt       time.Duration // time of its last bad outcome; 0: none
+	connectFailures int           // failed connections since the last answer, at most downAfterFailures
+	outlierCount    int           // attempts cancelled as too slow since the last answer
 }
 
-type attempt struct {
-	b           *backend
-	slot        *slot
-	sent        time.Duration
-	open        bool
-	countedLate bool // counted as late while still out
-	superseded  bool // cancelled, to be made elsewhere
+// attemptState is an attempt of a request.
+type attemptState struct {
+	backend     *backend
+	slot        *heldSlot
+	sentAt      time.Duration
+	inFlight    bool
+	countedLate bool // counted as a bad outcome for being late while still in flight
+	superseded  bool // cancelled by cancelSlow, to be repeated at another backend
 	result      Result
 }
 
+// request is a request that was admitted or queued.
 type request struct {
-	id              RequestID
-	seq             uint64
-	class           *class
-	customer        *customer
-	units           float64
-	deadline        time.Duration
-	queued          bool // held in its customer's line, not yet sent
-	attempts        []attempt
-	ended, streamed bool
+	id       RequestID
+	seq      uint64 // its key in requestsBySeq and the token of its timers
+	class    *classState
+	customer *customer
+	units    float64
+	deadline time.Duration // when its client times out
+	queued   bool          // waits in its customer's queue and has not been sent
+	attempts []attemptState
+	ended    bool
+	streamed bool // its answer has begun
 }
 
-// out tells whether an attempt is out; there is never more than one.
-func (r *request) out() bool { return len(r.attempts) > 0 && r.attempts[len(r.attempts)-1].open }
+// inFlight reports whether an attempt is in flight. There is never more than one.
+func (r *request) inFlight() bool {
+	return len(r.attempts) > 0 && r.attempts[len(r.attempts)-1].inFlight
+}
 
+// sentUnits is the cost of a request that this gateway sent.
 type sentUnits struct {
 	at             time.Duration
-	percentSeconds float64 // percent-seconds
+	percentSeconds float64 // units in percent-seconds of the plan's rate
 }
 
+// customer is a customer as seen by this gateway.
 type customer struct {
 	limits
-	plan         *Plan
-	gateways     float64 // gateways that it uses
-	seen         time.Duration
-	open         int
-	bucket       float64       // s: percent-seconds, as of storeAt
-	bucketAt     time.Duration // the end of the last period that the meter reported
-	passShare    float64       // f
-	readAt       time.Duration // when the last reading was counted
-	recentSends  []sentUnits   // this gateway's own sends since storeAt
-	metered, own float64       // use by the meter and by this gateway's own count, fading
-	meteredFor   float64       // seconds that the meter reported, fading
-	lastReading  float64       // the value of that reading
-	period       float64       // the meter's, seconds
-	readings     stats.Weights // likelihood of the readings, where they tell of attempts out
-	followedFrom time.Duration // about when the first period began that the meter reported
-	units        float64       // of the last request
+	plan            *Plan
+	gateways        float64 // number of gateways that it uses
+	lastSeen        time.Duration
+	inFlight        int           // attempts of this gateway in flight
+	meteredLevel    float64       // level of its token bucket at meteredUntil, percent-seconds of the rate
+	meteredUntil    time.Duration // end of the last period that the meter reported
+	passProbability float64       // f, the share of its requests that passes while its bucket is empty
+	lastReadingAt   time.Duration // when the last reading was counted
+	recentSends     []sentUnits   // this gateway's sends since meteredUntil
+	meteredUse      float64       // use that the meter reported, percent-seconds, decaying sum
+	ownUse          float64       // use through this gateway in the same periods, percent-seconds, decaying sum
+	meteredTime     float64       // length of these periods, seconds, decaying sum
+	lastReading     float64       // last reading, percent of the rate
+	meterPeriod     float64       // period of the meter, seconds
+	// readingsLikelihood is the likelihood of the readings at each utilization, for plans without a rate only.
+	readingsLikelihood stats.Weights
+	meteredSince       time.Duration // approximate start of the first period that the meter reported
+	lastUnits          float64       // units of its last request
 }
 
-type tier struct {
-	arrivals, worth float64 // of this window
-	rate, mean      float64 // arrivals a second and mean worth of the last window
+// tierLoad is the load of one of the two tiers of requests.
+type tierLoad struct {
+	arrivals    float64 // arrivals in the present window
+	value       float64 // sum of their values
+	arrivalRate float64 // arrivals per second in the last window
+	meanValue   float64 // mean value of an arrival in the last window that had any
 }
 
 // Gateway makes the decisions of one gateway.
 type Gateway struct {
-	settings       Settings
-	classes        map[string]*class
-	byClass        []*class // in the order of the settings
-	plans          map[string]*Plan
-	rng            *rand.Rand
-	now, startedAt time.Duration
-	started        bool
-	actions        []Action
-	backends       map[BackendID]*backend
-	listUntil      time.Duration // end of the lease of the list of backends
-	requests       map[RequestID]*request
-	bySeq          map[uint64]*request
-	seq            uint64
-	customers      map[CustomerID]*customer
-	usage          map[*Plan]*planUsage
-	metered        bool              // the meter ran before this gateway started
-	population     *stats.Population // the use of the customer of a request, by plan
-	price          excessPrice
-
-	ranking                   ranked.List[*backend] // by rank
-	unavailable, coldBackends ranked.Bag[*backend]  // not ready; cold, and some that were
-
-	recentValues []float64 // of the last medianOver arrivals
-	medianValue  float64
-
-	limit                    float64    // N; +Inf: unbounded
-	partSize                 [3]float64 // n_h, n_l, pool
-	inUse                    [3]int
-	meanInUse                [3]float64 // used, on average over a small part's window, as of busyAt
-	meanInUseAt              time.Duration
-	marked                   int
-	unmarked                 []*slot // low ones in the pool not yet marked, oldest first
-	tiers                    [2]tier // low, high
-	splitAt                  time.Duration
-	meanLatency, bestLatency float64 // running mean latency of answers, 1/mu; its slowly forgotten low
-	outcomes, badOutcomes    float64 // attempts ended, and badly, fading
-	answerTime, sustainable  float64 // sum of the aims of a second's answers; its mean
-	sends, sendRate          float64 // of this second; a second, on average
-	ticks                    float64 // seconds counted so far
-	cancelBudget             float64 // attempts that may be cancelled
+	settings           Settings
+	classes            map[string]*classState
+	orderedClasses     []*classState // in the order of the settings
+	plans              map[string]*Plan
+	rng                *rand.Rand
+	now                time.Duration // time of the present event
+	startedAt          time.Duration
+	initialized        bool // the first event has been handled
+	actions            []Action
+	backends           map[BackendID]*backend
+	listValidUntil     time.Duration // end of the lease of the list of backends
+	requests           map[RequestID]*request
+	requestsBySeq      map[uint64]*request
+	lastSeq            uint64
+	customers          map[CustomerID]*customer
+	planUsages         map[*Plan]*planUsage
+	meteredBeforeStart bool              // the meter ran before this gateway started
+	population         *stats.Population // distribution of the utilization of a request's customer, by plan
+	pricing            excessPricing
+
+	ranking      ranked.List[*backend] // by rank
+	unavailable  ranked.Bag[*backend]  // backends that are not Ready
+	coldBackends ranked.Bag[*backend]  // cold backends and some that have warmed up since
+
+	recentValues []float64 // values of the last medianWindow arrivals
+	medianValue  float64   // their median, the boundary between the tiers
+
+	concurrencyLimit float64    // N; +Inf: unbounded
+	partitionSize    [3]float64 // slots of each partition: n_h, n_l and the pool
+	inUse            [3]int     // slots of each partition in use
+	meanInUse        [3]float64 // the same, averaged over a window in a small partition, as of meanInUseAt
+	meanInUseAt      time.Duration
+	markedCount      int         // marked slots in use
+	unmarkedSlots    []*heldSlot // slots of low requests in the pool that are not marked, oldest first; some are freed
+	tiers            [2]tierLoad // low, high
+	lastSplitAt      time.Duration
+	meanLatency      float64 // 1/mu, the running mean latency of answers, seconds
+	minLatency       float64 // lowest meanLatency, rising slowly to follow changes, seconds
+	outcomes         float64 // attempts that ended or became late, decaying sum
+	badOutcomes      float64 // those of them that were late or rejected, decaying sum
+	lateAgeSum       float64 // sum of the late ages of the classes of this second's answers, seconds
+	sustainableLimit float64 // mean of lateAgeSum per second: the attempts in flight that can end without being late
+	sends            float64 // sends in this second
+	sendRate         float64 // mean sends per second
+	ticks            float64 // seconds counted so far
+	cancelBudget     float64 // attempts that may be cancelled as too slow
 }
 
-// limits are this gateway's parts of a customer's hard limits, and what it has of them.
+// limits are this gateway's shares of a customer's hard limits and its use of them, and what the gateway has observed
+// of the customer's requests.
 type limits struct {
-	parts          float64 // that the ceiling is split into
-	hasCeilingPart bool    // one of them is this gateway's
-	ceilingLevel   float64 // what is left in it, as of ceilAt
-	ceilingAt      time.Duration
-	openLimit      int     // attempts that may be out here
-	openCredit     float64 // where the part is less than one: the time of an attempt out saved up as of openAt, seconds
-	openAt         time.Duration
-	queue          []*request      // held until an attempt out ends; some have ended
-	usage          *planUsage      // of the customer's plan
-	arrivals       []time.Duration // of its latest requests here
-	arrivalsFrom   time.Duration   // all since then are there
-	admitted       float64         // probability that its last request was admitted with
-	refused        *class          // of its last request, where that was refused as too costly, and its units
-	refusedSize    float64
-	refusedAt      time.Duration
+	ceilingShares   float64 // number of shares that the ceiling's bucket is split into
+	hasCeilingShare bool    // this gateway has one of them
+	ceilingLevel    float64 // level of its share of the ceiling's bucket, as of ceilingLevelAt, units
+	ceilingLevelAt  time.Duration
+	inFlightLimit   int // attempts that may be in flight through this gateway
+	// inFlightCredit is the time of an attempt in flight that is saved up as of inFlightCreditAt, in seconds, where
+	// this gateway's share of MaxInFlight is less than one.
+	inFlightCredit       float64
+	inFlightCreditAt     time.Duration
+	queue                []*request      // requests that wait for an attempt to end; some have ended
+	usage                *planUsage      // of the customer's plan
+	recentArrivals       []time.Duration // times of its latest requests through this gateway
+	arrivalsSince        time.Duration   // recentArrivals is complete since then
+	admissionProbability float64         // probability with which its last request was admitted
+	rejectedClass        *classState     // class of its last request if that was rejected for its price, else nil
+	rejectedUnits        float64         // units of that request
+	rejectedAt           time.Duration
 }
 
-// excessPrice is what a gateway keeps of the price of what it admits.
-type excessPrice struct {
-	shadow   float64
-	offers   *budget.Ledger // the latest requests
-	requests float64        // fading: all
-	rejected float64        // those rejected by their price
-	returned float64        // those of clients that were rejected just before
+// excessPricing is the state of the pricing of requests beyond their quota.
+type excessPricing struct {
+	shadowPrice float64
+	offers      *budget.Ledger // the latest requests
+	requests    float64        // all requests, decaying sum
+	rejected    float64        // requests rejected for their price, decaying sum
+	retried     float64        // client retries shortly after such a rejection, decaying sum
 }
 
-// planUsage is what a gateway has learnt of the customers of a plan.
+// planUsage is what a gateway has learnt about the customers of a plan.
 type planUsage struct {
-	group          int            // number of the plan in the samples
-	use            *stats.Weights // distribution of the use of the customer of a request
-	units, squares float64        // mean units of a request, and their mean square
-	admitted       float64        // mean probability of admission
+	populationGroup  int            // group of the plan in Gateway.population
+	utilization      *stats.Weights // distribution of the utilization of a request's customer
+	meanUnits        float64        // running mean of the units of a request
+	meanSquaredUnits float64        // running mean of their square
+	meanAdmission    float64        // running mean of the probability of admission
 }
 
-// meanUse is the mean use of the customer of a request.
-func (u *planUsage) meanUse() float64 { return u.use.Mean(usageGrid) }
+// meanUtilization returns the mean utilization of the quota by the customer of a request, in multiples of the quota.
+func (u *planUsage) meanUtilization() float64 { return u.utilization.Mean(utilizationGrid) }
