--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -8,193 +8,205 @@
 	"herontiller/internal/stats"
 )
 
-// How much of their quotas customers use over all gateways. One of many gateways meets most customers once, so it
-// keeps a distribution of the use for each plan, estimated from the meter's readings by empirical Bayes: the prior
-// below counts only until some dozens of readings of any plan are in, and these only until as many of the plan
-// itself are.
+// The utilization of the customers: how much of their quotas they use over all gateways. One of many gateways meets
+// most customers once, so it keeps a distribution of the utilization for each plan, estimated from the readings of the
+// meter by empirical Bayes. The prior below counts only until some dozens of readings of any plan are in, and those
+// count only until as many of the plan itself are in.
 
 const (
-	priorReadings = 4.0         // readings of a known use that the prior counts for, and all plans beside one
-	mostSamples   = 128         // latest readings that the estimate goes by
-	refineRounds  = 10          // rounds of the EM algorithm a second, from the last second's estimate on
-	unitsFade     = 1.0 / 64    // weight of one request in the means of units and of admission
-	leastSampled  = 1.0 / 5     // least probability that a reading's request is taken to have been admitted with
-	arrivalsFor   = 20 * second // time for which the arrivals of a customer without readings are evidence
-	mostArrivals  = 16          // latest arrivals of a customer that are kept
-	changeEvery   = 20 * second // mean time between changes of a customer's use
-	longestFollow = 10.0        // seconds of readings after which a bucket's level is known, however slowly it fills
-	drainsIn      = 10.0        // times that a bucket refills in within which it matters that it was full at the start
-	mostRead      = 64          // attempts out at once that a reading is taken to tell of at most
-	leastLikely   = 1e-6        // likelihood of a reading at any use: customers are not as regular as the formulas
-	leastExposure = 0.05        // requests expected at the whole quota under which no arrival is no evidence
-	leastWeight   = 0.002       // uses less likely are passed over
-	queueScale    = 1.5         // places, less queueLess, for each request in a bucket, of a queue that is full as
-	queueLess     = 0.5         // often as the bucket has too little, within 0.04
+	priorSamples         = 4.0         // readings that the prior counts for, and all plans together as the prior of one
+	maxSamples           = 128         // latest readings from which the distributions are estimated
+	emRounds             = 10          // rounds of the EM algorithm per second, starting from the last estimate
+	requestWeight        = 1.0 / 64    // weight of one request in the running means of planUsage
+	minSampleAdmission   = 1.0 / 5     // least admission probability by which a reading is weighted
+	arrivalWindow        = 20 * second // age up to which arrivals of a customer without readings are evidence
+	maxArrivals          = 16          // latest arrivals that are kept of a customer
+	meanChangeInterval   = 20 * second // mean time between changes of a customer's utilization
+	maxLevelLearningTime = 10.0        // seconds of readings after which even a slow bucket's level is known
+	freshRefills         = 10.0        // refill times of a bucket during which it matters that it was full at the start
+	maxReadInFlight      = 64          // most attempts in flight that a reading is taken to report
+	minLikelihood        = 1e-6        // of a reading at any utilization: customers are less regular than the formulas
+	minExposure          = 0.05        // requests expected at the whole quota; below, no arrival is no evidence
+	minUtilizationWeight = 0.002       // utilizations with a lower probability are skipped
+
+	// The probability that a bucket has too little is that of a full M/M/1/K queue, to within 0.04, if the queue has so
+	// many places for each request that the full bucket allows, less the offset.
+	queuePlacesPerRequest = 1.5
+	queuePlacesOffset     = 0.5
 )
 
-// usageGrid holds the uses, in multiples of the quota, that the distributions are kept over; priorUsage is what is
-// assumed of a request's customer before any reading.
+// utilizationGrid holds the utilizations, in multiples of the quota, over which the distributions are kept.
+// priorUtilization is the distribution assumed for a request's customer before any reading.
 var (
-	usageGrid  = stats.NewGrid(stats.Weights{0.1, 0.2, 0.35, 0.5, 0.7, 0.85, 1, 1.25, 1.7, 2.4, 3.5, 5})
-	priorUsage = stats.Weights{0.05, 0.10, 0.12, 0.08, 0.08, 0.07, 0.06, 0.08, 0.12, 0.11, 0.08, 0.05}
+	utilizationGrid  = stats.NewGrid(stats.Weights{0.1, 0.2, 0.35, 0.5, 0.7, 0.85, 1, 1.25, 1.7, 2.4, 3.5, 5})
+	priorUtilization = stats.Weights{0.05, 0.10, 0.12, 0.08, 0.08, 0.07, 0.06, 0.08, 0.12, 0.11, 0.08, 0.05}
 )
 
-// usageOf returns what is known of a plan's customers.
-func (g *Gateway) usageOf(plan *Plan) *planUsage {
-	u := g.usage[plan]
-	if u != nil {
-		return u
+// planUsageOf returns the usage of a plan, creating it if needed.
+func (g *Gateway) planUsageOf(plan *Plan) *planUsage {
+	usage := g.planUsages[plan]
+	if usage != nil {
+		return usage
 	}
-	typical := max(1, g.settings.LargestUnits/4)
-	u = &planUsage{units: typical, squares: 1.5 * typical * typical, admitted: 1, group: g.population.AddGroup()}
-	u.use, g.usage[plan] = g.population.Group(u.group), u
-	return u
+	typicalUnits := max(1, g.settings.MaxRequestUnits/4)
+	usage = &planUsage{meanUnits: typicalUnits, meanSquaredUnits: 1.5 * typicalUnits * typicalUnits, meanAdmission: 1,
+		populationGroup: g.population.AddGroup()}
+	usage.utilization, g.planUsages[plan] = g.population.Group(usage.populationGroup), usage
+	return usage
 }
 
-// outAtQuota returns how many attempts a customer has out, on average, that uses its whole quota: by the latency, and
-// no more than half of the limit, as a limit nearer to it would keep customers from using their quotas.
-func (g *Gateway) outAtQuota(c *customer) float64 {
-	half := float64(c.plan.Open) / 2
-	if c.plan.Rate <= 0 { // what such a plan's use is counted in
-		return half
+// inFlightAtQuota returns the mean number of attempts in flight of a customer that uses its whole quota. It is
+// computed from the mean latency and is at most half of the limit on attempts in flight: a higher mean would keep the
+// customer from using its quota. Without a rate it is that half, and the utilization is counted in multiples of it.
+func (g *Gateway) inFlightAtQuota(c *customer) float64 {
+	halfLimit := float64(c.plan.MaxInFlight) / 2
+	if c.plan.Rate <= 0 {
+		return halfLimit
 	}
-	return min(half, c.plan.Rate/max(c.usage.units, 1e-6)*g.meanLatency)
+	return min(halfLimit, c.plan.Rate/max(c.usage.meanUnits, 1e-6)*g.meanLatency)
 }
 
-// requestTime is the time in which a customer that uses its whole quota sends one request, in seconds. It is that
-// of a request of the size that has the variance of the true sizes.
-func (c *customer) requestTime() float64 {
+// requestInterval returns the seconds between two requests of a customer that uses its whole quota. It assumes
+// requests of the one size that has the same variance of the use as the true sizes.
+func (c *customer) requestInterval() float64 {
 	if c.plan.Rate <= 0 {
-		return max(1e-6, c.period)
+		return max(1e-6, c.meterPeriod)
 	}
-	return max(1e-6, c.usage.squares/max(c.usage.units, 1e-6)/c.plan.Rate)
+	return max(1e-6, c.usage.meanSquaredUnits/max(c.usage.meanUnits, 1e-6)/c.plan.Rate)
 }
 
-// arrived counts a request that came through this gateway. It tells of the customer whether or not it is admitted.
-func (c *customer) arrived(now time.Duration) {
-	if len(c.arrivals) == mostArrivals {
-		c.arrivals = slices.Delete(c.arrivals, 0, mostArrivals/2)
-		c.arrivalsFrom = c.arrivals[0]
+// recordArrival records a request of the customer through this gateway. It is evidence of the customer's utilization
+// whether or not it is admitted.
+func (c *customer) recordArrival(now time.Duration) {
+	if len(c.recentArrivals) == maxArrivals {
+		c.recentArrivals = slices.Delete(c.recentArrivals, 0, maxArrivals/2)
+		c.arrivalsSince = c.recentArrivals[0]
 	}
-	c.arrivals = append(c.arrivals, now)
+	c.recentArrivals = append(c.recentArrivals, now)
 }
 
-// useOf returns the distribution of the customer's use now. The readings tell of the use until the end of the last
-// period; it may have changed since, and then a request is the likelier to come from a customer the more it asks.
-// This gateway's own share of the arrivals since is evidence on the present.
-func (g *Gateway) useOf(c *customer) stats.Weights {
-	one, age := c.requestTime(), readingAge*c.period
-	use := *c.usage.use
-	from := max(g.startedAt, g.now-arrivalsFor)
-	if c.meteredFor > 0 {
-		age = max(0, (g.now - c.bucketAt).Seconds())
-		fade := math.Pow(shareDecay, age/max(c.period, 1e-3))
-		likelihood := c.readings
+// utilizationOf returns the distribution of the customer's utilization now. The readings are evidence until the end of
+// the last metered period. The utilization may have changed since, and then a request comes from a customer with a
+// probability proportional to its new utilization. The arrivals since then at this gateway, with its share of the
+// customer's requests, are evidence of the present.
+func (g *Gateway) utilizationOf(c *customer) stats.Weights {
+	interval, age := c.requestInterval(), readingDelay*c.meterPeriod
+	utilization := *c.usage.utilization
+	from := max(g.startedAt, g.now-arrivalWindow)
+	if c.meteredTime > 0 {
+		age = max(0, (g.now - c.meteredUntil).Seconds())
+		decay := math.Pow(readingDecay, age/max(c.meterPeriod, 1e-3))
+		likelihood := c.readingsLikelihood
 		if c.plan.Rate > 0 {
-			likelihood = usageGrid.Likelihood(fade*c.metered/100/one, fade*c.meteredFor/one)
+			likelihood = utilizationGrid.Likelihood(decay*c.meteredUse/100/interval, decay*c.meteredTime/interval)
 		}
-		use = use.Posterior(&likelihood)
-		from = c.bucketAt
+		utilization = utilization.Posterior(&likelihood)
+		from = c.meteredUntil
 	}
-	changed := 1 - math.Exp(-(age+c.period/2)/changeEvery.Seconds())
-	anew := c.usage.use.Posterior(&usageGrid.Rate)
-	for i := range use {
-		use[i] += changed * (anew[i] - use[i])
+	changeProbability := 1 - math.Exp(-(age+c.meterPeriod/2)/meanChangeInterval.Seconds())
+	afterChange := c.usage.utilization.Posterior(&utilizationGrid.Rate)
+	for i := range utilization {
+		utilization[i] += changeProbability * (afterChange[i] - utilization[i])
 	}
 	if c.plan.Rate > 0 {
-		from = max(from, c.arrivalsFrom)
+		from = max(from, c.arrivalsSince)
 		count := 0.0
-		for _, at := range c.arrivals {
-			count += float64(b2i(at >= from))
+		for _, at := range c.recentArrivals {
+			count += float64(boolToInt(at >= from))
 		}
-		exposure := max(0, (g.now-from).Seconds()) / (one * c.fleetShare())
-		if count > 0 || exposure > leastExposure {
-			likelihood := usageGrid.Likelihood(c.usage.admitted*count, exposure)
-			use = use.Posterior(&likelihood)
+		exposure := max(0, (g.now-from).Seconds()) / (interval * c.fleetMultiple())
+		if count > 0 || exposure > minExposure {
+			likelihood := utilizationGrid.Likelihood(c.usage.meanAdmission*count, exposure)
+			utilization = utilization.Posterior(&likelihood)
 		}
 	}
-	return use
+	return utilization
 }
 
-// excess returns the probability that a request of a customer of such a use is beyond its quota, by what other
-// gateways send. One of two gateways meets all of a customer's requests, and has its bucket to go by.
-func (g *Gateway) excess(c *customer, use *stats.Weights, units float64) float64 {
-	limit := float64(c.plan.Open)
-	limited := c.plan.Open > 0 && limit < c.gateways
-	out := c.othersShare() / (c.gateways - 1) * g.outAtQuota(c) // of each of the other gateways
-	unseen := 0.0
+// excessProbability returns the probability that a request of a customer of the given utilization is beyond its quota
+// because of what other gateways send. One of two gateways meets all of a customer's requests and relies on its own
+// projection of the bucket instead.
+func (g *Gateway) excessProbability(c *customer, utilization *stats.Weights, units float64) float64 {
+	limit := float64(c.plan.MaxInFlight)
+	limitShared := c.plan.MaxInFlight > 0 && limit < c.gateways
+	inFlightElsewhere := c.othersShare() / (c.gateways - 1) * g.inFlightAtQuota(c) // per other gateway
+	unseenShare := 0.0
 	var bucket stats.Bucket
 	if c.plan.Rate > 0 && units > 0 {
-		unseen = 1 - min(1, 2/c.gateways)
-		bucket = g.bucket(c, units)
+		unseenShare = 1 - min(1, 2/c.gateways)
+		bucket = g.bucketEstimate(c, units)
 	}
-	beyond := 0.0
-	for i, weight := range use {
-		if weight < leastWeight {
+	excess := 0.0
+	for i, weight := range utilization {
+		if weight < minUtilizationWeight {
 			continue
 		}
-		rate, inside := usageGrid.Rate[i], 1.0
-		if unseen > 0 {
-			inside -= unseen * bucket.Short(rate, usageGrid.Log(i))
+		rate, within := utilizationGrid.Rate[i], 1.0
+		if unseenShare > 0 {
+			within -= unseenShare * bucket.Short(rate, utilizationGrid.Log(i))
 		}
-		if limited {
-			inside *= stats.BinomialBelow(c.plan.Open, c.gateways-1, min(limit/c.gateways, rate*out))
+		if limitShared {
+			within *= stats.BinomialBelow(c.plan.MaxInFlight, c.gateways-1,
+				min(limit/c.gateways, rate*inFlightElsewhere))
 		}
-		beyond += weight * (1 - inside)
+		excess += weight * (1 - within)
 	}
-	return min(1, max(0, beyond))
+	return min(1, max(0, excess))
 }
 
-// bucket is what is known of the customer's token bucket, before a request of so many units.
-func (g *Gateway) bucket(c *customer, units float64) stats.Bucket {
-	one, rate := c.requestTime(), c.plan.Rate
+// bucketEstimate returns what is known of the customer's token bucket before a request of so many units.
+func (g *Gateway) bucketEstimate(c *customer, units float64) stats.Bucket {
+	interval, rate := c.requestInterval(), c.plan.Rate
 	filled := (g.now - g.startedAt).Seconds()
-	b := stats.Bucket{Places: queueScale*max(1, c.plan.Burst/units) - queueLess, Filled: filled / one,
-		Full: (c.plan.Burst - units) / rate / one, Fresh: !g.metered && filled < drainsIn*c.plan.Burst/rate}
-	if c.meteredFor == 0 {
-		return b
+	estimate := stats.Bucket{Places: queuePlacesPerRequest*max(1, c.plan.Burst/units) - queuePlacesOffset,
+		Filled: filled / interval, Full: (c.plan.Burst - units) / rate / interval,
+		Fresh: !g.meteredBeforeStart && filled < freshRefills*c.plan.Burst/rate}
+	if c.meteredTime == 0 {
+		return estimate
 	}
-	b.Known = 1 - math.Exp(-(g.now-c.followedFrom).Seconds()/min(longestFollow, c.plan.Burst/rate))
-	b.Spare = (c.bucket/100 - units/rate) / one
-	for _, d := range c.recentSends {
-		b.Spare -= d.percentSeconds / 100 / one
+	estimate.Known = 1 - math.Exp(-(g.now-c.meteredSince).Seconds()/min(maxLevelLearningTime, c.plan.Burst/rate))
+	estimate.Spare = (c.meteredLevel/100 - units/rate) / interval
+	for _, sent := range c.recentSends {
+		estimate.Spare -= sent.percentSeconds / 100 / interval
 	}
-	b.Refill = max(0, (g.now-c.bucketAt).Seconds()) / one
-	b.Others = c.othersShare()
-	return b
+	estimate.Refill = max(0, (g.now-c.meteredUntil).Seconds()) / interval
+	estimate.Others = c.othersShare()
+	return estimate
 }
 
-// othersShare is the share of the customer's requests that other gateways send.
-func (c *customer) othersShare() float64 { return 1 - 1/c.fleetShare() }
+// othersShare returns the share of the customer's use that comes through other gateways.
+func (c *customer) othersShare() float64 { return 1 - 1/c.fleetMultiple() }
 
-// readingLikelihood returns how likely a reading is at each use: of a plan with a rate, as many requests as a Poisson
-// process sends in a period; of one without, as the most that its customer had out in the period at once.
-func (g *Gateway) readingLikelihood(c *customer, use float64) stats.Weights {
+// readingLikelihood returns the likelihood of a reading, in multiples of the quota, at each utilization. The reading
+// of a plan with a rate counts the requests of a Poisson process in a period; of one without, it is the largest number
+// of attempts of the customer in flight at once in the period.
+func (g *Gateway) readingLikelihood(c *customer, utilization float64) stats.Weights {
 	if c.plan.Rate > 0 {
-		exposure := c.period / c.requestTime()
-		return usageGrid.Likelihood(use*exposure, exposure)
+		exposure := c.meterPeriod / c.requestInterval()
+		return utilizationGrid.Likelihood(utilization*exposure, exposure)
 	}
-	most := int(min(mostRead, math.Round(use*float64(c.plan.Open))))
-	services := c.period / g.meanLatency
+	maxInFlight := int(min(maxReadInFlight, math.Round(utilization*float64(c.plan.MaxInFlight))))
+	services := c.meterPeriod / g.meanLatency
 	var likelihood stats.Weights
-	for i, rate := range usageGrid.Rate {
-		out := rate * g.outAtQuota(c)
-		exactly := stats.MostPresent(most, out, services) - stats.MostPresent(most-1, out, services)
-		likelihood[i] = max(leastLikely, exactly)
+	for i, rate := range utilizationGrid.Rate {
+		meanInFlight := rate * g.inFlightAtQuota(c)
+		probability := stats.MostPresent(maxInFlight, meanInFlight, services) -
+			stats.MostPresent(maxInFlight-1, meanInFlight, services)
+		likelihood[i] = max(minLikelihood, probability)
 	}
 	return likelihood
 }
 
-// learnUsage takes in a reading of a customer: the use in one period, in multiples of the quota. Requests were
-// admitted with a probability that went by the use, so each reading counts for as many requests as were rejected
-// beside it.
-func (g *Gateway) learnUsage(c *customer, use float64) {
-	if c.period <= 0 {
+// learnUsage adds a reading of a customer, its use in one period in multiples of the quota, to the population. The
+// probability with which requests were admitted depended on the utilization, so a reading is weighted by its inverse:
+// it also stands for the requests that were rejected.
+func (g *Gateway) learnUsage(c *customer, utilization float64) {
+	if c.meterPeriod <= 0 {
 		return
 	}
-	if g.now-g.startedAt < g.settings.MeterPeriod { // a period that has ended by now began before the start
-		g.metered = true
+	if g.now-g.startedAt < g.settings.MeterPeriod { // the reading is of a period that began before the start
+		g.meteredBeforeStart = true
 	}
-	g.population.Add(stats.Sample{Likelihood: g.readingLikelihood(c, use), Group: c.usage.group,
-		Weight: 1 / max(leastSampled, c.admitted)})
+	g.population.Add(stats.Sample{Likelihood: g.readingLikelihood(c, utilization), Group: c.usage.populationGroup,
+		Weight: 1 / max(minSampleAdmission, c.admissionProbability)})
 }
--- a/internal/scalelab/fixture.go
+++ b/internal/scalelab/fixture.go
@@ -46,15 +46,15 @@
 
 // newSettings are the settings of a fleet of the size, with plans that no test traffic uses up.
 func newSettings(size Size) Settings {
-	settings := Settings{Gateways: size.Gateways, Zone: zoneName(0), MeterPeriod: meterPeriod, LargestUnits: largestUnit,
+	settings := Settings{Gateways: size.Gateways, Zone: zoneName(0), MeterPeriod: meterPeriod, MaxRequestUnits: largestUnit,
 		MaxAttempts: 3, CanCancel: true, AnswerGrace: 50 * time.Millisecond, DrainGrace: 500 * time.Millisecond,
-		ColdFrom: 0.19, WarmWithin: 15 * time.Second, FallMultiple: 3, FallFor: 1500 * time.Millisecond,
+		ColdCapacity: 0.19, WarmUpTime: 15 * time.Second, OverloadMultiple: 3, OverloadTime: 1500 * time.Millisecond,
 		MaxRetryAfter: time.Second}
 	for number := range size.Classes {
 		settings.Classes = append(settings.Classes, gateway.Class{Name: className(number), Effect: gateway.Safe,
-			Aim: classAim, Deadline: deadline, Worth: 3})
+			TargetLatency: classAim, Deadline: deadline, Value: 3})
 	}
-	settings.Plans = []Plan{{Name: widePlan, Rate: 1e6, Burst: 1e6, Price: 1}}
+	settings.Plans = []Plan{{Name: widePlan, Rate: 1e6, Burst: 1e6, ValueFactor: 1}}
 	return settings
 }
 
@@ -68,7 +68,7 @@
 	backends := make([]BackendInfo, count)
 	for i := range backends {
 		backends[i] = BackendInfo{ID: BackendID(i + 1), State: gateway.Ready, Zone: zoneName(i % TargetZones),
-			Kind: "std-2core", Cell: i, Weight: 1}
+			MachineType: "std-2core", Cell: i, Weight: 1}
 	}
 	return backends
 }
--- a/internal/scalelab/fleet.go
+++ b/internal/scalelab/fleet.go
@@ -98,7 +98,7 @@
 func (f *Fleet) Ask(number int, request Request) {
 	f.nextID++
 	request.ID = f.nextID
-	request.Patience = deadline
+	request.Timeout = deadline
 	f.Gateways[number].Ask(f.Clock.Now(), request)
 }
 
--- a/internal/scalelab/hollow.go
+++ b/internal/scalelab/hollow.go
@@ -57,7 +57,7 @@
 
 // NewHollowGateway starts a decision module that knows no backends.
 func NewHollowGateway(number int, settings Settings, seed uint64, now time.Duration, surroundings Surroundings) (*HollowGateway, error) {
-	settings.Me = number
+	settings.Index = number
 	module, err := gateway.New(settings, seed, now)
 	if err != nil {
 		return nil, fmt.Errorf("hollow gateway %d: %w", number, err)
@@ -85,7 +85,7 @@
 func (h *HollowGateway) Finish(now time.Duration, attempt Attempt, took time.Duration, use float64) {
 	delete(h.open, attempt.Request.ID)
 	h.handle(now, Outcome{Request: attempt.Request.ID, Backend: attempt.Backend, Attempt: attempt.Number,
-		Result: gateway.Answered, Took: took, Final: true, HasUse: true, Use: use})
+		Result: gateway.Answered, Duration: took, Final: true, HasUsage: true, UsagePercent: use})
 }
 
 // Unreachable ends an attempt whose connection could not be made.
--- a/internal/scalelab/quota.go
+++ b/internal/scalelab/quota.go
@@ -73,7 +73,7 @@
 	}
 	before, used := heapInUse(), processorTime()
 	settings := newSettings(size)
-	plan := Plan{Name: quotaPlan, Rate: rate, Burst: burstSeconds * rate, Price: 1, OverCost: 1}
+	plan := Plan{Name: quotaPlan, Rate: rate, Burst: burstSeconds * rate, ValueFactor: 1, ExcessCostShare: 1}
 	if hasCeiling {
 		plan.CeilingRate, plan.CeilingBurst, plan.CeilingSlack = ceilingFactor*rate, ceilingFactor*plan.Burst, largestUnit
 	}
@@ -125,7 +125,7 @@
 	uneven := int(float64(p.spread) * math.Pow(random.Float64(), 2.5)) // the first gateway gets several times the last's
 	gateway := (customer.first + uneven) % len(p.fleet.Gateways)
 	p.fleet.Ask(gateway, Request{Customer: CustomerID(number), Class: className(0), Plan: quotaPlan, Units: units,
-		FirstGateway: customer.first, Spread: p.spread})
+		FirstGateway: customer.first, GatewayCount: p.spread})
 }
 
 func (p *quotaPlay) sent(_ *HollowGateway, attempt Attempt) {
--- a/internal/scalelab/single.go
+++ b/internal/scalelab/single.go
@@ -73,7 +73,7 @@
 func (s *single) request(customer, class int) {
 	s.next++
 	s.gateway.Ask(s.now, Request{ID: s.next, Customer: CustomerID(customer), Class: className(class), Plan: widePlan,
-		Units: 1, Patience: deadline, FirstGateway: 0, Spread: s.spread})
+		Units: 1, Timeout: deadline, FirstGateway: 0, GatewayCount: s.spread})
 }
 
 // finish ends the attempts that are due.
--- a/internal/scalelab/sums.go
+++ b/internal/scalelab/sums.go
@@ -111,7 +111,7 @@
 	p.requests++
 	random := p.fleet.Random
 	p.fleet.Ask(random.IntN(len(p.fleet.Gateways)), Request{Customer: CustomerID(random.IntN(slopeBase.Customers)),
-		Class: className(0), Plan: widePlan, Units: 1, Spread: len(p.fleet.Gateways)})
+		Class: className(0), Plan: widePlan, Units: 1, GatewayCount: len(p.fleet.Gateways)})
 }
 
 // countEven sums up the load and the connections of the steady part.
@@ -154,12 +154,12 @@
 	for id := 1; id <= result.Replaced; id++ {
 		sends, from := p.coldSends[id], 0
 		for i := range sends {
-			for sends[i]-sends[from] > settings.FallFor {
+			for sends[i]-sends[from] > settings.OverloadTime {
 				from++
 			}
 			age := (sends[from] - p.replacedAt).Seconds()
-			warmth := settings.ColdFrom + (1-settings.ColdFrom)*age/settings.WarmWithin.Seconds()
-			bears := settings.FallMultiple * warmth * result.CapacityOfBackend * settings.FallFor.Seconds()
+			warmth := settings.ColdCapacity + (1-settings.ColdCapacity)*age/settings.WarmUpTime.Seconds()
+			bears := settings.OverloadMultiple * warmth * result.CapacityOfBackend * settings.OverloadTime.Seconds()
 			result.ColdWorst = max(result.ColdWorst, float64(i-from+1)/bears)
 		}
 	}
--- a/internal/scalelab/wire.go
+++ b/internal/scalelab/wire.go
@@ -12,7 +12,7 @@
 func endpoint(backend BackendInfo, address string) frontdoor.Endpoint {
 	health := [...]string{"Ready", "Terminating", "Gone"}[backend.State]
 	return frontdoor.Endpoint{Host: fmt.Sprintf("s-%08x", uint32(backend.ID)), Dial: address, Site: backend.Zone,
-		Class: backend.Kind, Block: backend.Cell, Health: health, Share: backend.Weight,
+		Class: backend.MachineType, Block: backend.Cell, Health: health, Share: backend.Weight,
 		BornMS: backend.Started.Milliseconds()}
 }
 
@@ -45,13 +45,13 @@
 // settingsText is the part of a configuration file that holds classes and plans.
 func settingsText(settings Settings) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, `{"balancers":%d,"me":%d,"lanes":[`, settings.Gateways, settings.Me)
+	fmt.Fprintf(&text, `{"balancers":%d,"me":%d,"lanes":[`, settings.Gateways, settings.Index)
 	for i, class := range settings.Classes {
 		if i > 0 {
 			text.WriteByte(',')
 		}
 		fmt.Fprintf(&text, `{"name":%q,"effect":"retryable","goal_time_us":%d,"deadline_us":%d,"gain":%g}`, class.Name,
-			class.Aim.Microseconds(), class.Deadline.Microseconds(), class.Worth)
+			class.TargetLatency.Microseconds(), class.Deadline.Microseconds(), class.Value)
 	}
 	text.WriteString(`],"tariffs":[`)
 	for i, plan := range settings.Plans {
@@ -59,10 +59,10 @@
 			text.WriteByte(',')
 		}
 		fmt.Fprintf(&text, `{"name":%q,"units_per_s":%g,"burst":%g,"value_factor":%g}`, plan.Name, plan.Rate, plan.Burst,
-			plan.Price)
+			plan.ValueFactor)
 	}
 	fmt.Fprintf(&text, `],"family_info":{"meter_period_us":%d,"largest":%g},`, settings.MeterPeriod.Microseconds(),
-		settings.LargestUnits)
+		settings.MaxRequestUnits)
 	text.WriteString(`"policy_limits":{"cancel":true,"max_attempts":3,"conn_idle_us":15000000,"connect_timeout_us":250000}}`)
 	return text.String()
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -67,11 +67,11 @@
 	} `json:"stats"`
 }
 
-var effects = map[string]gateway.Effect{"": gateway.Safe, "retryable": gateway.Safe, "dedup": gateway.Keyed,
+var effects = map[string]gateway.Effect{"": gateway.Safe, "retryable": gateway.Safe, "dedup": gateway.Deduplicated,
 	"fragile": gateway.Unsafe}
 
-var groups = map[string]gateway.Group{"": gateway.GroupAll, "all": gateway.GroupAll, "zone": gateway.GroupZone,
-	"cell": gateway.GroupCell}
+var groups = map[string]gateway.DedupScope{"": gateway.ScopeAll, "all": gateway.ScopeAll, "zone": gateway.ScopeZone,
+	"cell": gateway.ScopeCell}
 
 // Connections are the settings on connections to backends and to discovery. Only a gateway on real sockets needs them.
 type Connections struct {
@@ -89,12 +89,12 @@
 	if err := json.Unmarshal(text, &p); err != nil {
 		return gateway.Settings{}, Connections{}, fmt.Errorf("settings: %w", err)
 	}
-	s := gateway.Settings{Gateways: p.Balancers, Me: p.Me, Zone: p.Zone, MeterPeriod: micros(p.Family.Meter),
-		LargestUnits: p.Family.Largest, MaxAttempts: p.Limits.Attempts, ParallelTries: p.Limits.Parallel,
-		CanCancel: p.Limits.Cancel, CanProbe: p.Limits.Probes, AskForList: p.Discovery == "on_request",
+	s := gateway.Settings{Gateways: p.Balancers, Index: p.Me, Zone: p.Zone, MeterPeriod: micros(p.Family.Meter),
+		MaxRequestUnits: p.Family.Largest, MaxAttempts: p.Limits.Attempts, ParallelAttempts: p.Limits.Parallel,
+		CanCancel: p.Limits.Cancel, CanProbe: p.Limits.Probes, SubscribeToList: p.Discovery == "on_request",
 		LoadColumns: p.Stats.Columns, LoadInAnswers: p.Stats.How == "answers", AnswerGrace: micros(p.Duties.Grace),
-		DrainGrace: micros(p.Duties.Drain), ColdFrom: p.Duties.ColdFrom, WarmWithin: micros(p.Duties.Warm),
-		FallMultiple: p.Duties.Multiple, FallFor: micros(p.Duties.Fall)}
+		DrainGrace: micros(p.Duties.Drain), ColdCapacity: p.Duties.ColdFrom, WarmUpTime: micros(p.Duties.Warm),
+		OverloadMultiple: p.Duties.Multiple, OverloadTime: micros(p.Duties.Fall)}
 	if p.Limits.RetryAfter {
 		s.MaxRetryAfter = micros(p.Limits.MaxAfter)
 	}
@@ -105,13 +105,13 @@
 			return gateway.Settings{}, Connections{}, fmt.Errorf("class %q has the effect %q and the group %q",
 				c.Name, c.Effect, c.Group)
 		}
-		s.Classes = append(s.Classes, gateway.Class{Name: c.Name, Effect: effect, Group: group,
-			KeyWindow: micros(c.KeyTTL), Aim: micros(c.Aim), Deadline: micros(c.Deadline), Worth: c.Gain,
-			LateWorth: c.LateValue, Stream: c.Stream})
+		s.Classes = append(s.Classes, gateway.Class{Name: c.Name, Effect: effect, Scope: group,
+			DedupWindow: micros(c.KeyTTL), TargetLatency: micros(c.Aim), Deadline: micros(c.Deadline), Value: c.Gain,
+			LateValueShare: c.LateValue, Streaming: c.Stream})
 	}
 	for _, t := range p.Tariffs {
-		s.Plans = append(s.Plans, gateway.Plan{Name: t.Name, Rate: t.Rate, Burst: t.Burst, Open: t.Parallel,
-			Price: t.Value, OverWorth: t.OverWorth, OverCost: t.OverCost, CeilingRate: t.CeilRate,
+		s.Plans = append(s.Plans, gateway.Plan{Name: t.Name, Rate: t.Rate, Burst: t.Burst, MaxInFlight: t.Parallel,
+			ValueFactor: t.Value, ExcessValueShare: t.OverWorth, ExcessCostShare: t.OverCost, CeilingRate: t.CeilRate,
 			CeilingBurst: t.CeilDepth, CeilingSlack: t.CeilSlack})
 	}
 	return s, Connections{Idle: micros(p.Limits.ConnIdle), Connect: micros(p.Limits.Connect),
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -77,8 +77,8 @@
 // The wire's words for the constants of package gateway.
 
 var results = map[string]gateway.Result{
-	"delivered": gateway.Answered, "app_error": gateway.AnsweredErr, "shed": gateway.Rejected, "expired": gateway.TimedOut,
-	"dial_failed": gateway.NoConnection, "dropped": gateway.Broken, "revoked": gateway.Cancelled, "unused": gateway.NotSent,
+	"delivered": gateway.Answered, "app_error": gateway.AnsweredError, "shed": gateway.Rejected, "expired": gateway.TimedOut,
+	"dial_failed": gateway.NoConnection, "dropped": gateway.ConnectionBroken, "revoked": gateway.Cancelled, "unused": gateway.NotSent,
 }
 
 var states = map[string]gateway.BackendState{"healthy": gateway.Ready, "cordoned": gateway.Draining, "deregistered": gateway.Gone}
@@ -164,7 +164,7 @@
 	if l.Backend == nil {
 		return nil, errors.New("sampled without a backend")
 	}
-	return gateway.ProbeResult{Backend: gateway.BackendID(*l.Backend), Result: result(l.Result), Took: micros(l.Took),
+	return gateway.ProbeResult{Backend: gateway.BackendID(*l.Backend), Result: result(l.Result), Duration: micros(l.Took),
 		Load: l.Load}, nil
 }
 
@@ -193,7 +193,7 @@
 func decodeRequest(l rawMessage) (gateway.Event, error) {
 	id, err := requestID(l)
 	return gateway.Request{ID: id, Customer: gateway.CustomerID(l.Customer), Class: l.Class, Plan: l.Plan,
-		Units: l.Units, Patience: micros(l.Patience), FirstGateway: int(l.FirstInstance), Spread: int(l.Spread)}, err
+		Units: l.Units, Timeout: micros(l.Patience), FirstGateway: int(l.FirstInstance), GatewayCount: int(l.Spread)}, err
 }
 
 func decodeOutcome(l rawMessage) (gateway.Event, error) {
@@ -205,7 +205,7 @@
 		return nil, err
 	}
 	return gateway.Outcome{Request: id, Backend: gateway.BackendID(*l.Backend), Attempt: l.Attempt, Result: result(l.Result),
-		Took: micros(l.Took), Final: l.Final, HasUse: l.UsePlusOne > 0, Use: float64(l.UsePlusOne - 1), Units: l.SettledUnits,
+		Duration: micros(l.Took), Final: l.Final, HasUsage: l.UsePlusOne > 0, UsagePercent: float64(l.UsePlusOne - 1), SettledUnits: l.SettledUnits,
 		Load: l.Load}, nil
 }
 
@@ -221,7 +221,7 @@
 			return nil, fmt.Errorf("a list entry without a backend or with the state %q", e.Health)
 		}
 		out.Backends = append(out.Backends, gateway.BackendInfo{ID: gateway.BackendID(*e.Backend), State: state,
-			Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Started: micros(e.Boot), Weight: e.Power})
+			Zone: e.Zone, MachineType: e.Kind, Cell: e.Cell, Started: micros(e.Boot), Weight: e.Power})
 	}
 	return out, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -16,8 +16,8 @@
 		`{"m":"detach","door":2}`:            {Instance: 2, Stop: true},
 		`{"m":"call","door":3,"txn":"d4b7b4c55d3a91c4","opts":1,"spread":3,"terms":"kis","grace_us":240000,` +
 			`"cost_units":2,"first_door":1,"grade":"c","caller":7,"new":[1]}`: {Instance: 3, Event: gateway.Request{
-			ID: 0xd4b7b4c55d3a91c4, Customer: 7, Class: "c", Plan: "kis", Units: 2, Patience: 240 * time.Millisecond,
-			FirstGateway: 1, Spread: 3}},
+			ID: 0xd4b7b4c55d3a91c4, Customer: 7, Class: "c", Plan: "kis", Units: 2, Timeout: 240 * time.Millisecond,
+			FirstGateway: 1, GatewayCount: 3}},
 		`{"m":"reminder","door":3,"ref":77}`: {Instance: 3, Event: gateway.Timer{Token: 77}},
 		`{"m":"client_left","door":5,"txn":"00000000000000ff"}`: {Instance: 5,
 			Event: gateway.ClientGone{Request: 255}},
@@ -37,12 +37,12 @@
 	m, err := Decode([]byte(`{"m":"closed_attempt","door":3,"txn":"d4b7b4c55d3a91c4","duration_us":18500,"try":1,` +
 		`"seen_use":87,"backend":51530247,"rc":"delivered","last":true,"settled":3,"health_info":[0.62,140]}`))
 	o, ok := m.Event.(gateway.Outcome)
-	if err != nil || !ok || o.Result != gateway.Answered || !o.HasUse || o.Use != 86 || !o.Final || o.Attempt != 1 ||
-		len(o.Load) != 2 || o.Backend != 51530247 || o.Took != 18500*time.Microsecond {
+	if err != nil || !ok || o.Result != gateway.Answered || !o.HasUsage || o.UsagePercent != 86 || !o.Final || o.Attempt != 1 ||
+		len(o.Load) != 2 || o.Backend != 51530247 || o.Duration != 18500*time.Microsecond {
 		t.Errorf("%+v %v", m, err)
 	}
 	m, err = Decode([]byte(`{"m":"closed_attempt","door":3,"txn":"d4b7b4c55d3a91c4","backend":1,"rc":"odd"}`))
-	if o := m.Event.(gateway.Outcome); err != nil || o.Result != gateway.Unknown || o.HasUse {
+	if o := m.Event.(gateway.Outcome); err != nil || o.Result != gateway.Unknown || o.HasUsage {
 		t.Errorf("an unknown outcome code: %+v %v", o, err)
 	}
 }
