--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -22,55 +22,56 @@
 		g.emit(Reject{Request: ev.ID})
 		return
 	}
-	c := g.customerFor(ev, plan)
-	if !g.withinQuota(c, ev.Units) || !g.withinCeiling(c, ev.Units) || !g.admitExcess(c, class, ev.Units) {
-		g.emit(Reject{ev.ID, g.retryAfterQuota(c, ev.Units)})
+	customer := g.customerFor(ev, plan)
+	if !g.withinQuota(customer, ev.Units) || !g.withinCeiling(customer, ev.Units) ||
+		!g.admitExcess(customer, class, ev.Units) {
+		g.emit(Reject{ev.ID, g.retryAfterQuota(customer, ev.Units)})
 		return
 	}
 	g.lastSeq++
-	r := &request{id: ev.ID, seq: g.lastSeq, class: class, customer: c, units: ev.Units,
+	request := &requestState{id: ev.ID, seq: g.lastSeq, class: class, customer: customer, units: ev.Units,
 		deadline: g.now + ev.Timeout}
-	g.dequeue(c)
+	g.dequeue(customer)
 	switch {
-	case len(c.queue) == 0 && g.withinInFlightLimit(c):
-		g.admit(r)
-	case !g.enqueue(r):
+	case len(customer.queue) == 0 && g.withinInFlightLimit(customer):
+		g.admit(request)
+	case !g.enqueue(request):
 		g.emit(Reject{ev.ID, g.retryAfterSlot()})
 	}
 }
 
 // admit sends a request that is within its customer's limits, if a backend is available and a slot of the
 // request's tier. Otherwise it rejects the request at once.
-func (g *Gateway) admit(r *request) {
-	c, plan := r.customer, r.customer.plan
-	value := r.class.Value * plan.ValueFactor * r.units
+func (g *Gateway) admit(request *requestState) {
+	customer, plan := request.customer, request.customer.plan
+	value := request.class.Value * plan.ValueFactor * request.units
 	highValue := g.isHighValue(value)
 	tier := &g.tiers[boolToInt(highValue)]
 	tier.arrivals++
 	tier.value += value
-	b := g.chooseBackend(r)
+	backend := g.chooseBackend(request)
 	var slot *heldSlot
-	if b != nil {
+	if backend != nil {
 		slot = g.takeSlot(highValue)
 	}
 	if slot == nil {
-		g.emit(Reject{r.id, g.retryAfterSlot()})
-		g.end(r)
+		g.emit(Reject{request.id, g.retryAfterSlot()})
+		g.end(request)
 		return
 	}
-	g.requests[r.id], g.requestsBySeq[r.seq] = r, r
-	c.ceilingLevel -= r.units
+	g.requests[request.id], g.requestsBySeq[request.seq] = request, request
+	customer.ceilingLevel -= request.units
 	if plan.Rate > 0 {
-		if len(c.recentSends) == maxRecentSends { // the older half is merged into meteredLevel
-			at := c.recentSends[maxRecentSends/2-1].at
-			c.meteredLevel, c.meteredUntil = c.bucketLevel(at), at
-			c.recentSends = slices.Delete(c.recentSends, 0, maxRecentSends/2)
+		if len(customer.recentSends) == maxRecentSends { // the older half is merged into meteredLevel
+			at := customer.recentSends[maxRecentSends/2-1].at
+			customer.meteredLevel, customer.meteredUntil = customer.bucketLevel(at), at
+			customer.recentSends = slices.Delete(customer.recentSends, 0, maxRecentSends/2)
 		}
-		c.recentSends = append(c.recentSends, sentUnits{g.now, 100 * r.units / plan.Rate})
+		customer.recentSends = append(customer.recentSends, sentUnits{g.now, 100 * request.units / plan.Rate})
 	}
-	g.send(r, b, slot)
-	r.class.firstAttempts = append(r.class.firstAttempts, r)
-	g.emit(SetTimer{After: r.deadline - g.now, Token: r.seq})
+	g.send(request, backend, slot)
+	request.class.firstAttempts = append(request.class.firstAttempts, request)
+	g.emit(SetTimer{After: request.deadline - g.now, Token: request.seq})
 }
 
 // isHighValue reports whether the value is above the recent median, and adds it to the values of the next
--- a/internal/gateway/advice.go
+++ b/internal/gateway/advice.go
@@ -7,17 +7,17 @@
 
 // retryAfterQuota returns the time in which the customer's token bucket, and this gateway's share of the ceiling's,
 // will have refilled enough for the units, if the customer sends nothing else.
-func (g *Gateway) retryAfterQuota(c *customer, units float64) time.Duration {
+func (g *Gateway) retryAfterQuota(customer *customerState, units float64) time.Duration {
 	wait := 0.0
-	if c.plan.Rate > 0 {
-		if c.meteredLevel <= 0 && c.passProbability < 1 {
+	if customer.plan.Rate > 0 {
+		if customer.meteredLevel <= 0 && customer.passProbability < 1 {
 			return g.settings.MaxRetryAfter // passProbability must rise first, and changes only with the readings
 		}
-		steadyPercent, _ := c.otherUse(g.now)
-		wait = (c.requiredLevel(units) - c.bucketLevel(g.now)) / max(1, 100-steadyPercent)
+		steadyPercent, _ := customer.otherUse(g.now)
+		wait = (customer.requiredLevel(units) - customer.bucketLevel(g.now)) / max(1, 100-steadyPercent)
 	}
-	if !g.withinCeiling(c, units) {
-		wait = max(wait, (units-c.ceilingLevel)*c.ceilingShares/c.plan.CeilingRate)
+	if !g.withinCeiling(customer, units) {
+		wait = max(wait, (units-customer.ceilingLevel)*customer.ceilingShares/customer.plan.CeilingRate)
 	}
 	if wait <= 0 { // the limit on attempts in flight: one must end
 		return g.retryAfterSlot()
@@ -32,7 +32,7 @@
 
 // requiredLevel returns the level that the projected bucket must have for the units, in percent-seconds: a
 // bucketMargin more than they cost, but no more than a full bucket, unless they cost more than that.
-func (c *customer) requiredLevel(units float64) float64 {
+func (c *customerState) requiredLevel(units float64) float64 {
 	needed, full := 100*units/c.plan.Rate, c.capacity()
 	return max(needed, min(needed+bucketMargin*full, full))
 }
--- a/internal/gateway/ceiling.go
+++ b/internal/gateway/ceiling.go
@@ -29,14 +29,15 @@
 // holds enough for the units. The shares are equal, so that together they are the whole. For a customer that is new
 // since this gateway's start, the share is taken to have been empty at the start, as before a restart it may have been
 // used up. A gateway without a share sends nothing.
-func (g *Gateway) withinCeiling(c *customer, units float64) bool {
-	if c.plan.CeilingRate <= 0 {
+func (g *Gateway) withinCeiling(customer *customerState, units float64) bool {
+	if customer.plan.CeilingRate <= 0 {
 		return true
 	}
-	refill := c.plan.CeilingRate * (g.now - c.ceilingLevelAt).Seconds()
-	c.ceilingLevel = min(c.plan.CeilingBurst, c.ceilingLevel*c.ceilingShares+refill) / c.ceilingShares
-	c.ceilingLevelAt = g.now
-	return c.hasCeilingShare && c.ceilingLevel >= units+c.queuedUnits()
+	refill := customer.plan.CeilingRate * (g.now - customer.ceilingLevelAt).Seconds()
+	customer.ceilingLevel = min(customer.plan.CeilingBurst, customer.ceilingLevel*customer.ceilingShares+refill) /
+		customer.ceilingShares
+	customer.ceilingLevelAt = g.now
+	return customer.hasCeilingShare && customer.ceilingLevel >= units+customer.queuedUnits()
 }
 
 // withinInFlightLimit reports whether a further attempt may be in flight for the customer. If the limit is lower than
@@ -45,28 +46,29 @@
 // that share of the time, averaged over maxInFlightCredit or more, and all gateways together have no more in flight
 // than the limit on average. A gateway starts without credit, as the attempts in flight before a restart are not
 // known.
-func (g *Gateway) withinInFlightLimit(c *customer) bool {
-	if c.plan.MaxInFlight <= 0 {
+func (g *Gateway) withinInFlightLimit(customer *customerState) bool {
+	if customer.plan.MaxInFlight <= 0 {
 		return true
 	}
-	g.addInFlight(c, 0)
-	return c.inFlight < c.inFlightLimit && (float64(c.plan.MaxInFlight) >= c.gateways || c.inFlightCredit >= 0)
+	g.addInFlight(customer, 0)
+	return customer.inFlight < customer.inFlightLimit &&
+		(float64(customer.plan.MaxInFlight) >= customer.gateways || customer.inFlightCredit >= 0)
 }
 
 // addInFlight adds delta to the customer's attempts in flight, after charging their time until now to inFlightCredit.
-func (g *Gateway) addInFlight(c *customer, delta int) {
-	share := float64(c.plan.MaxInFlight) / c.gateways
-	c.inFlightCredit = min(maxInFlightCredit,
-		c.inFlightCredit+(share-float64(c.inFlight))*(g.now-c.inFlightCreditAt).Seconds())
-	c.inFlightCreditAt = g.now
-	c.inFlight += delta
+func (g *Gateway) addInFlight(customer *customerState, delta int) {
+	share := float64(customer.plan.MaxInFlight) / customer.gateways
+	customer.inFlightCredit = min(maxInFlightCredit,
+		customer.inFlightCredit+(share-float64(customer.inFlight))*(g.now-customer.inFlightCreditAt).Seconds())
+	customer.inFlightCreditAt = g.now
+	customer.inFlight += delta
 }
 
 // queuedUnits returns the sum of the units of the queued requests.
-func (c *customer) queuedUnits() float64 {
+func (c *customerState) queuedUnits() float64 {
 	sum := 0.0
-	for _, r := range c.queue {
-		sum += float64(boolToInt(r.queued)) * r.units
+	for _, request := range c.queue {
+		sum += float64(boolToInt(request.queued)) * request.units
 	}
 	return sum
 }
@@ -75,29 +77,30 @@
 // whether it did. It does so only if by the mean latency an attempt will end soon enough: with a share of less than
 // one attempt, each request uses up the credit for a moment, and a busy customer's next one often comes a moment too
 // early. A request that could not be sent in time is rejected at once, without waiting.
-func (g *Gateway) enqueue(r *request) bool {
-	c := r.customer
-	c.queue = slices.DeleteFunc(c.queue, func(r *request) bool { return !r.queued })
-	maxWait := min(maxQueueTargetShare*r.class.TargetLatency.Seconds(),
-		maxQueueTimeoutShare*(r.deadline-g.now).Seconds())
-	if c.inFlightLimit == 0 || float64(len(c.queue)+1)*g.meanLatency/float64(c.inFlightLimit) > maxWait {
+func (g *Gateway) enqueue(request *requestState) bool {
+	customer := request.customer
+	customer.queue = slices.DeleteFunc(customer.queue, func(other *requestState) bool { return !other.queued })
+	maxWait := min(maxQueueTargetShare*request.class.TargetLatency.Seconds(),
+		maxQueueTimeoutShare*(request.deadline-g.now).Seconds())
+	if customer.inFlightLimit == 0 ||
+		float64(len(customer.queue)+1)*g.meanLatency/float64(customer.inFlightLimit) > maxWait {
 		return false
 	}
-	r.queued = true
-	c.queue = append(c.queue, r)
-	g.requests[r.id], g.requestsBySeq[r.seq] = r, r
-	g.emit(SetTimer{After: seconds(maxWait).Truncate(time.Microsecond), Token: r.seq})
+	request.queued = true
+	customer.queue = append(customer.queue, request)
+	g.requests[request.id], g.requestsBySeq[request.seq] = request, request
+	g.emit(SetTimer{After: seconds(maxWait).Truncate(time.Microsecond), Token: request.seq})
 	return true
 }
 
 // dequeue admits requests from the customer's queue while its limit of attempts in flight allows it.
-func (g *Gateway) dequeue(c *customer) {
-	for len(c.queue) > 0 && g.withinInFlightLimit(c) {
-		r := c.queue[0]
-		c.queue[0], c.queue = nil, c.queue[1:]
-		if r.queued {
-			r.queued = false
-			g.admit(r)
+func (g *Gateway) dequeue(customer *customerState) {
+	for len(customer.queue) > 0 && g.withinInFlightLimit(customer) {
+		request := customer.queue[0]
+		customer.queue[0], customer.queue = nil, customer.queue[1:]
+		if request.queued {
+			request.queued = false
+			g.admit(request)
 		}
 	}
 }
--- a/internal/gateway/concurrency.go
+++ b/internal/gateway/concurrency.go
@@ -40,18 +40,18 @@
 func (g *Gateway) adjustLimit() {
 	weight := max(minMeanWeight, min(0.5, g.sendRate/minOutcomes))
 	affectedBackends, readyBackends := 0, g.ranking.Len()-g.unavailable.Len()
-	for _, r := range g.requests { // only counts, so the random order of the map has no effect
-		for i := range r.attempts {
-			if attempt := &r.attempts[i]; attempt.inFlight && !attempt.countedLate &&
-				(g.now-attempt.sentAt).Seconds() > r.class.lateAge() {
+	for _, request := range g.requests { // only counts, so the random order of the map has no effect
+		for i := range request.attempts {
+			if attempt := &request.attempts[i]; attempt.inFlight && !attempt.countedLate &&
+				(g.now-attempt.sentAt).Seconds() > request.class.lateAge() {
 				attempt.backend.lastBadAt, attempt.countedLate = g.now, true
 				g.outcomes++
 				g.badOutcomes++
 			}
 		}
 	}
-	for b := range g.ranking.All() {
-		affectedBackends += boolToInt(b.lastBadAt > 0 && g.now-b.lastBadAt < seconds(0.5/weight))
+	for backend := range g.ranking.All() {
+		affectedBackends += boolToInt(backend.lastBadAt > 0 && g.now-backend.lastBadAt < seconds(0.5/weight))
 	}
 	firstWeight := min(0.5, 1/max(1, g.ticks)) // the first seconds have more weight
 	g.sustainableLimit += max(weight, firstWeight) * (g.lateAgeSum - g.sustainableLimit)
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -24,8 +24,8 @@
 	case Outcome:
 		g.onOutcome(ev)
 	case AnswerStarted:
-		if r := g.requests[ev.Request]; r != nil {
-			r.streamed = true
+		if request := g.requests[ev.Request]; request != nil {
+			request.streamed = true
 		}
 	case ClientGone:
 		g.end(g.requests[ev.Request])
@@ -45,9 +45,9 @@
 func (g *Gateway) onTimer(token uint64) {
 	if token == 0 {
 		g.tick()
-	} else if r := g.requestsBySeq[token]; r != nil && !r.ended && !r.streamed &&
-		(r.queued || g.now+time.Millisecond >= r.deadline) { // ignores the queue timer of a request sent since
-		g.answerFinally(r)
+	} else if request := g.requestsBySeq[token]; request != nil && !request.ended && !request.streamed &&
+		(request.queued || g.now+time.Millisecond >= request.deadline) { // else it is the queue timer of one sent since
+		g.answerFinally(request)
 	}
 }
 
--- a/internal/gateway/excess.go
+++ b/internal/gateway/excess.go
@@ -10,12 +10,12 @@
 // depends on its value and its expected excess, at a shadow price that rises and falls with what has been spent.
 
 const (
-	excessBudget          = 0.07 // target cost of excess, as a share of the value requested within quotas; 0.1 allowed
-	minClassAdmission     = 0.50 // least admitted share of a class's value within quotas; a half is required
-	minUnknownAdmission   = 0.30 // least admitted share of the clients of unknown customers; a third is required
-	initialPrice          = 4.0  // shadow price at the start
-	minPrice              = 1.0  // least shadow price; below it more is lost beyond the quotas than gained within them
-	maxPrice              = 100.0
+	excessBudget          = 0.07       // target cost of excess, as a share of the value within quotas; 0.1 is allowed
+	minClassAdmission     = 0.50       // least admitted share of a class's value within quotas; a half is required
+	minUnknownAdmission   = 0.30       // least admitted share of the clients of unknown customers; a third is required
+	initialPrice          = 4.0        // shadow price at the start
+	minPrice              = 1.0        // least shadow price; below it more is lost beyond quotas than won within them
+	maxPrice              = 100.0      // highest shadow price
 	classPriceStep        = 2.0        // most by which the price of a class grows in a second, as a factor
 	maxOffers             = 128        // latest requests from which the price is computed
 	maxOfferAge           = 8 * second // age up to which they are used
@@ -27,17 +27,17 @@
 )
 
 // admitExcess reports whether a request is admitted though it may be beyond the quota. The admission is certain if its
-// expected value is at least its expected price, and less probable the lower the value is. Of the customers of whom
-// nothing is known a minimum share is admitted in any case.
-func (g *Gateway) admitExcess(c *customer, class *classState, units float64) bool {
-	plan, usage := c.plan, c.usage
-	retryShare := g.retryShare(c, class, units)
-	unknown := c.meteredTime == 0 && len(c.recentArrivals) == 0
-	utilization := g.utilizationOf(c)
-	c.recordArrival(g.now)
+// expected value is at least its expected price, and less probable the lower the value is. Of the customers that are
+// not known yet, a minimum share is admitted at any price.
+func (g *Gateway) admitExcess(customer *customerState, class *classState, units float64) bool {
+	plan, usage := customer.plan, customer.usage
+	retryShare := g.retryShare(customer, class, units)
+	unknown := customer.meteredTime == 0 && len(customer.recentArrivals) == 0
+	utilization := g.utilizationOf(customer)
+	customer.recordArrival(g.now)
 	usage.meanUnits += requestWeight * (units - usage.meanUnits)
 	usage.meanSquaredUnits += requestWeight * (units*units - usage.meanSquaredUnits)
-	excess, value := g.excessProbability(c, &utilization, units), class.Value*plan.ValueFactor*units
+	excess, value := g.excessProbability(customer, &utilization, units), class.Value*plan.ValueFactor*units
 	offer := budget.Offer{At: g.now, Value: value * (1 - excess + excess*plan.ExcessValueShare),
 		Cost: value * excess * plan.ExcessCostShare,
 		Base: value * usage.utilization.ShareWithin(utilizationGrid,
@@ -53,10 +53,10 @@
 	class.admittedValue += eventualAdmission(probability, retryShare)*valueWithinQuota - classWeight*class.admittedValue
 	class.requestedValue += valueWithinQuota - classWeight*class.requestedValue
 	usage.meanAdmission += requestWeight * (probability - usage.meanAdmission)
-	c.admissionProbability = probability
+	customer.admissionProbability = probability
 	if probability < 1 && g.rng.Float64() >= probability {
 		g.pricing.rejected++
-		c.rejectedClass, c.rejectedUnits, c.rejectedAt = class, units, g.now
+		customer.rejectedClass, customer.rejectedUnits, customer.rejectedAt = class, units, g.now
 		return false
 	}
 	return true
@@ -71,11 +71,11 @@
 // retryShare records whether a request is the client retry of one that was rejected, and returns the share of the
 // rejected requests that are retried, through this gateway or another. Client retries are recognised by their class
 // and units and by coming within a second, as the Retry-After of a rejection is mostly the latency of one answer.
-func (g *Gateway) retryShare(c *customer, class *classState, units float64) float64 {
-	if c.rejectedClass == class && c.rejectedUnits == units && g.now-c.rejectedAt < second {
+func (g *Gateway) retryShare(customer *customerState, class *classState, units float64) float64 {
+	if customer.rejectedClass == class && customer.rejectedUnits == units && g.now-customer.rejectedAt < second {
 		g.pricing.retried++
 	}
-	c.rejectedClass = nil
+	customer.rejectedClass = nil
 	return min(maxRetryShare, g.pricing.retried/(g.pricing.rejected+minRejections)/sameGatewayRetryShare)
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -25,10 +25,10 @@
 		return nil, err
 	}
 	g := &Gateway{settings: settings, rng: rand.New(rand.NewPCG(seed, 0)), now: now, startedAt: now,
-		classes: map[string]*classState{}, plans: map[string]*Plan{}, backends: map[BackendID]*backend{},
-		requests: map[RequestID]*request{}, requestsBySeq: map[uint64]*request{},
-		customers: map[CustomerID]*customer{}, concurrencyLimit: math.Inf(1), lastSplitAt: now,
-		sendRate: minOutcomes}
+		classes: map[string]*classState{}, plans: map[string]*Plan{},
+		backends: map[BackendID]*trackedBackend{}, requests: map[RequestID]*requestState{},
+		requestsBySeq: map[uint64]*requestState{}, customers: map[CustomerID]*customerState{},
+		concurrencyLimit: math.Inf(1), lastSplitAt: now, sendRate: minOutcomes}
 	for _, spec := range settings.Classes {
 		initialLatency := spec.TargetLatency.Seconds() / 4
 		class := &classState{Class: spec, meanLatency: initialLatency, minLatency: initialLatency,
@@ -61,8 +61,8 @@
 	if g.now-g.lastSplitAt >= splitInterval {
 		g.resplit()
 	}
-	for id, c := range g.customers { // only deletes, so the random order of the map has no effect
-		if c.inFlight == 0 && g.now-c.lastSeen > customerIdleTime {
+	for id, customer := range g.customers { // only deletes, so the random order of the map has no effect
+		if customer.inFlight == 0 && g.now-customer.lastSeen > customerIdleTime {
 			delete(g.customers, id)
 		}
 	}
--- a/internal/gateway/health.go
+++ b/internal/gateway/health.go
@@ -9,8 +9,8 @@
 
 const (
 	initialBackoff    = 125 * time.Millisecond // after a failed connection; doubles with each further one in a row
-	maxBackoff        = second
-	downAfterFailures = 3 // failed connections in a row after which a backend counts as down
+	maxBackoff        = second                 // longest backoff
+	downAfterFailures = 3                      // failed connections in a row after which a backend counts as down
 
 	overdueThreshold     = 2.0      // mean answers that may be overdue before the backend's cost rises
 	cancelAfterLatencies = 10.0     // mean latencies of its class after which a first attempt is cancelled
@@ -35,21 +35,21 @@
 }
 
 // onConnectFailure backs off from a backend that could not be reached, for longer with each failure in a row. Only
-// after downAfterFailures of them it takes the backend's process to be down, and then treats it as cold, as it will be
-// when the list shows it again. A single broken connection is no evidence about the others.
-func (g *Gateway) onConnectFailure(b *backend) {
-	b.backoffUntil = g.now + min(initialBackoff<<b.connectFailures, maxBackoff)
-	if b.connectFailures++; b.connectFailures >= downAfterFailures {
-		b.cold, b.coldSince, b.tokens, b.connectFailures = true, g.now, 0, downAfterFailures
-		g.coldBackends.Add(b)
+// after downAfterFailures of them does it assume that the backend's process is down, and treat it as cold, as it will
+// be when the list shows it again. A single broken connection says nothing about the others.
+func (g *Gateway) onConnectFailure(backend *trackedBackend) {
+	backend.backoffUntil = g.now + min(initialBackoff<<backend.connectFailures, maxBackoff)
+	if backend.connectFailures++; backend.connectFailures >= downAfterFailures {
+		backend.cold, backend.coldSince, backend.tokens, backend.connectFailures = true, g.now, 0, downAfterFailures
+		g.coldBackends.Add(backend)
 	}
 }
 
 // capacityShare returns the least share of its full capacity that the backend has by now, from ColdCapacity to 1. It
-// clears b.cold once the backend has warmed up.
-func (g *Gateway) capacityShare(b *backend) float64 {
-	age := float64(g.now - b.coldSince)
-	if b.cold = b.cold && age < float64(g.settings.WarmUpTime); !b.cold {
+// clears backend.cold once the backend has warmed up.
+func (g *Gateway) capacityShare(backend *trackedBackend) float64 {
+	age := float64(g.now - backend.coldSince)
+	if backend.cold = backend.cold && age < float64(g.settings.WarmUpTime); !backend.cold {
 		return 1
 	}
 	return min(1, g.settings.ColdCapacity+(1-g.settings.ColdCapacity)*max(0, age)/float64(g.settings.WarmUpTime))
@@ -63,15 +63,15 @@
 // as long as the warm-up; so each gateway begins with a random fraction of a token, and together they send at the
 // right rate from the first second on. If *totalCapacity is 0, it is set to the capacity of all ready backends, in
 // warm backends.
-func (g *Gateway) slowStartFactor(b *backend, totalCapacity *float64) float64 {
-	capacity := g.capacityShare(b)
-	if !b.cold {
+func (g *Gateway) slowStartFactor(backend *trackedBackend, totalCapacity *float64) float64 {
+	capacity := g.capacityShare(backend)
+	if !backend.cold {
 		return 1
 	}
 	readyBackends := float64(g.ranking.Len() - g.unavailable.Len())
 	if *totalCapacity == 0 {
 		capacitySum := readyBackends
-		g.coldBackends.Sweep(func(other *backend) bool {
+		g.coldBackends.Sweep(func(other *trackedBackend) bool {
 			capacitySum += float64(boolToInt(other.State == Ready)) * (g.capacityShare(other) - 1)
 			return other.cold && g.backends[other.ID] == other
 		})
@@ -84,28 +84,28 @@
 	meanRate := max(sendRate, readyBackends/float64(g.settings.Gateways)) / min(readyBackends, g.subsetSize())
 	// relativeRate is the rate for this backend as a share of meanRate.
 	relativeRate := capacity * min(readyBackends / *totalCapacity, maxColdLoad*g.settings.OverloadMultiple)
-	b.tokens = min(1, b.tokens+relativeRate*meanRate*(g.now-b.tokensAt).Seconds())
-	b.tokensAt = g.now
-	return coldCostFactor * float64(boolToInt(b.tokens >= 1))
+	backend.tokens = min(1, backend.tokens+relativeRate*meanRate*(g.now-backend.tokensAt).Seconds())
+	backend.tokensAt = g.now
+	return coldCostFactor * float64(boolToInt(backend.tokens >= 1))
 }
 
 // updateOverdue brings the backend's overdue up to date and returns it: how many mean answers it has failed to give
-// since its last answer. So whatever silences it (a hang, a pause, a lost network) shows without a timeout. A few long
-// requests, or one on a dead connection, can raise it wrongly, so it only raises the backend's cost.
+// since its last answer. Whatever silences it (a hang, a pause, a lost network) is thus detected without a timeout. A
+// few long requests, or one on a dead connection, can raise it wrongly, so it only raises the backend's cost.
 //
 // While nothing is in flight, overdue and slowness decay: only a further attempt can show whether they still hold, and
 // the higher they are the less often one is sent. Without the decay, each backend in turn is avoided for a minute
 // after one dead attempt, and the rest are overloaded and answer late. The decay costs an attempt every few seconds at
 // a backend that stays silent, which cancelSlow makes up for.
-func (g *Gateway) updateOverdue(b *backend) float64 {
-	elapsed := (g.now - b.overdueAt).Seconds()
-	b.overdueAt = g.now
-	if b.inFlight == 0 {
-		b.overdue *= math.Exp(-elapsed / overdueDecayTime)
-		b.slowness -= max(0, b.slowness-1) * (1 - math.Exp(-elapsed/slownessDecayTime))
+func (g *Gateway) updateOverdue(backend *trackedBackend) float64 {
+	elapsed := (g.now - backend.overdueAt).Seconds()
+	backend.overdueAt = g.now
+	if backend.inFlight == 0 {
+		backend.overdue *= math.Exp(-elapsed / overdueDecayTime)
+		backend.slowness -= max(0, backend.slowness-1) * (1 - math.Exp(-elapsed/slownessDecayTime))
 	}
-	b.overdue += float64(b.inFlight) * elapsed / (g.meanLatency * max(1, b.slowness))
-	return b.overdue
+	backend.overdue += float64(backend.inFlight) * elapsed / (g.meanLatency * max(1, backend.slowness))
+	return backend.overdue
 }
 
 // cancelSlow cancels first attempts that have been in flight for far longer than usual, so that they are repeated at
@@ -118,27 +118,28 @@
 func (g *Gateway) cancelSlow() {
 	for _, class := range g.orderedClasses {
 		for len(class.firstAttempts) > 0 {
-			r := class.firstAttempts[0]
-			attempt := &r.attempts[0]
-			waiting := !r.ended && !r.streamed && len(r.attempts) == 1 && attempt.inFlight
+			request := class.firstAttempts[0]
+			attempt := &request.attempts[0]
+			waiting := !request.ended && !request.streamed && len(request.attempts) == 1 && attempt.inFlight
 			if waiting && (g.now-attempt.sentAt).Seconds() < cancelAfterLatencies*class.meanLatency {
 				break
 			}
 			class.firstAttempts[0], class.firstAttempts = nil, class.firstAttempts[1:]
-			canStillFinish := (r.deadline - g.now).Seconds() > 2*class.meanLatency
-			if waiting && canStillFinish && g.settings.CanCancel && g.cancelBudget >= 1 && g.chooseBackend(r) != nil {
+			canStillFinish := (request.deadline - g.now).Seconds() > 2*class.meanLatency
+			if waiting && canStillFinish && g.settings.CanCancel && g.cancelBudget >= 1 &&
+				g.chooseBackend(request) != nil {
 				g.cancelBudget--
 				attempt.superseded = true
-				g.emit(Cancel{Request: r.id})
+				g.emit(Cancel{Request: request.id})
 			}
 		}
 	}
 }
 
-// markOutlier raises the cost of a backend after an attempt there was cancelled as too slow. A single one may be the
-// fault of its connection, so the penalty is small and the backend is soon tried again. It doubles with each further
-// one until an answer comes.
-func (g *Gateway) markOutlier(b *backend) {
-	b.overdue = min(b.overdue, overdueThreshold+min(maxOutlierPenalty, math.Ldexp(1, b.outlierCount)))
-	b.outlierCount++
+// markOutlier applies the outlier penalty to a backend after an attempt there was cancelled as too slow: it limits
+// overdue to overdueThreshold plus the penalty. A single such attempt may be the fault of its connection, so the first
+// penalty is small and the backend is soon tried again. It doubles with each further one until an answer comes.
+func (g *Gateway) markOutlier(backend *trackedBackend) {
+	backend.overdue = min(backend.overdue, overdueThreshold+min(maxOutlierPenalty, math.Ldexp(1, backend.outlierCount)))
+	backend.outlierCount++
 }
--- a/internal/gateway/listing_test.go
+++ b/internal/gateway/listing_test.go
@@ -82,7 +82,7 @@
 			g.ranking.Len()-g.unavailable.Len(), g.ranking.Len(), len(g.backends))
 	}
 	colds, sum := 0, float64(ready)
-	g.coldBackends.Sweep(func(b *backend) bool {
+	g.coldBackends.Sweep(func(b *trackedBackend) bool {
 		if b.State == Ready && g.backends[b.ID] == b {
 			sum += g.capacityShare(b) - 1
 			colds += boolToInt(b.cold)
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -19,25 +19,25 @@
 )
 
 // customerFor returns the customer of a request, creating it if it is new or its plan has changed.
-func (g *Gateway) customerFor(ev Request, plan *Plan) *customer {
-	c := g.customers[ev.Customer]
-	if c == nil || c.plan != plan {
+func (g *Gateway) customerFor(ev Request, plan *Plan) *customerState {
+	customer := g.customers[ev.Customer]
+	if customer == nil || customer.plan != plan {
 		gatewayCount := min(max(ev.GatewayCount, 1), g.settings.Gateways)
 		fleetSize := g.settings.Gateways
 		offset := ((g.settings.Index-ev.FirstGateway)%fleetSize + fleetSize) % fleetSize
-		c = &customer{plan: plan, gateways: float64(gatewayCount), passProbability: 1, meteredUntil: g.now,
-			meterPeriod: g.settings.MeterPeriod.Seconds()}
+		customer = &customerState{plan: plan, gateways: float64(gatewayCount), passProbability: 1,
+			meteredUntil: g.now, meterPeriod: g.settings.MeterPeriod.Seconds()}
 		set := shares.Set{Gateways: gatewayCount, Offset: offset, Customer: uint64(ev.Customer)}
-		c.limits = g.newLimits(plan, set)
-		c.meteredLevel = c.capacity()
-		g.customers[ev.Customer] = c
+		customer.limits = g.newLimits(plan, set)
+		customer.meteredLevel = customer.capacity()
+		g.customers[ev.Customer] = customer
 	}
-	c.lastSeen, c.lastUnits = g.now, max(ev.Units, 1e-6)
-	return c
+	customer.lastSeen, customer.lastUnits = g.now, max(ev.Units, 1e-6)
+	return customer
 }
 
 // capacity returns the burst in percent-seconds of the rate, 0 without a rate.
-func (c *customer) capacity() float64 {
+func (c *customerState) capacity() float64 {
 	if c.plan.Rate <= 0 {
 		return 0
 	}
@@ -46,14 +46,14 @@
 
 // fleetMultiple returns the customer's use over all gateways for each unit sent through this one, learnt from
 // the readings. Before any reading it assumes that the customer uses its gateways equally.
-func (c *customer) fleetMultiple() float64 {
+func (c *customerState) fleetMultiple() float64 {
 	const priorUse = 100 // percent-seconds: one second of the plan's rate
 	return max(1, (c.meteredUse+c.gateways*priorUse)/(c.ownUse+priorUse))
 }
 
 // bucketLevel projects the level of the customer's token bucket to the given time, in percent-seconds: the
 // level at the end of the last metered period, refilled since, less the use through all gateways since.
-func (c *customer) bucketLevel(at time.Duration) float64 {
+func (c *customerState) bucketLevel(at time.Duration) float64 {
 	steadyPercent, perSend := c.otherUse(at)
 	level, levelAt := c.meteredLevel, c.meteredUntil
 	for _, sent := range c.recentSends {
@@ -71,9 +71,9 @@
 // one, in percent of the rate, and one per send, as a multiple of each send of this gateway. Two estimates
 // are combined. The decaying mean of the readings, which begins with one request of a customer that uses
 // priorPercent, counts as one more request. The sends of this gateway are evidence only for its own share of
-// the time. Each is weighted by the evidence behind it: with two gateways nearly all of the weight is on the
-// sends, with 300 nearly all of it is on the readings.
-func (c *customer) otherUse(at time.Duration) (steadyPercent, perSend float64) {
+// the time. Each estimate is weighted by the evidence behind it: with two gateways nearly all of the weight
+// is on the sends, with 300 nearly all of it is on the readings.
+func (c *customerState) otherUse(at time.Duration) (steadyPercent, perSend float64) {
 	fleetMultiple, elapsed := c.fleetMultiple(), max(0, (at-c.meteredUntil).Seconds())
 	decay := math.Pow(readingDecay, elapsed/max(c.meterPeriod, 1e-3))
 	requestUse := 100 * c.lastUnits / c.plan.Rate
@@ -93,60 +93,64 @@
 // (passProbability). An exception is made because readings come late and a short burst is over before one
 // shows it: a request must also be covered by the projected level, from which the use over all gateways since
 // the last metered period is subtracted.
-func (g *Gateway) withinQuota(c *customer, units float64) bool {
+func (g *Gateway) withinQuota(customer *customerState, units float64) bool {
 	// The pass probability applies only while readings come. They come with answers, so by rejecting too much
 	// it could otherwise stop both for good.
-	hasReadings := g.now-c.lastReadingAt <= 2*readingDelay*g.settings.MeterPeriod
-	if hasReadings && (c.plan.Rate <= 0 || c.meteredLevel <= 0) && g.rng.Float64() >= c.passProbability {
+	hasReadings := g.now-customer.lastReadingAt <= 2*readingDelay*g.settings.MeterPeriod
+	if hasReadings && (customer.plan.Rate <= 0 || customer.meteredLevel <= 0) &&
+		g.rng.Float64() >= customer.passProbability {
 		return false
 	}
-	return c.plan.Rate <= 0 || c.bucketLevel(g.now) >= c.requiredLevel(units+c.queuedUnits())
+	return customer.plan.Rate <= 0 ||
+		customer.bucketLevel(g.now) >= customer.requiredLevel(units+customer.queuedUnits())
 }
 
 // onReading counts a reading of the meter. Only one is counted per period, though many answers repeat it,
 // with jitter and out of order. A reading is not counted for a period that has not ended yet, as it repeats
 // that of an earlier period: otherwise meteredUntil would run ahead of the clock, and the bucket would never
 // refill again.
-func (g *Gateway) onReading(c *customer, usagePercent float64) {
+func (g *Gateway) onReading(customer *customerState, usagePercent float64) {
 	period := g.settings.MeterPeriod
-	if period <= 0 || c.meteredTime > 0 && (g.now-c.lastReadingAt < period/2 ||
-		usagePercent == c.lastReading && g.now-c.lastReadingAt < period || c.meteredUntil+period > g.now) {
+	if period <= 0 || customer.meteredTime > 0 && (g.now-customer.lastReadingAt < period/2 ||
+		usagePercent == customer.lastReading && g.now-customer.lastReadingAt < period ||
+		customer.meteredUntil+period > g.now) {
 		return
 	}
-	if c.meteredTime == 0 {
-		c.meteredSince = g.now - period
+	if customer.meteredTime == 0 {
+		customer.meteredSince = g.now - period
 	}
-	c.lastReadingAt, c.lastReading = g.now, usagePercent
+	customer.lastReadingAt, customer.lastReading = g.now, usagePercent
 	// The period of a reading is assumed to have ended readingDelay periods ago. If readings are missing
 	// before it, the bucket is projected over the gap from this gateway's own sends.
-	periodStart := max(c.meteredUntil, g.now-(1+readingDelay)*period)
-	if c.plan.Rate > 0 {
-		c.meteredLevel = c.bucketLevel(periodStart)
+	periodStart := max(customer.meteredUntil, g.now-(1+readingDelay)*period)
+	if customer.plan.Rate > 0 {
+		customer.meteredLevel = customer.bucketLevel(periodStart)
 	}
-	c.meteredUntil = periodStart + period
+	customer.meteredUntil = periodStart + period
 	ownUse := 0.0
-	c.recentSends = slices.DeleteFunc(c.recentSends, func(sent sentUnits) bool {
-		if sent.at > periodStart && sent.at <= c.meteredUntil {
+	customer.recentSends = slices.DeleteFunc(customer.recentSends, func(sent sentUnits) bool {
+		if sent.at > periodStart && sent.at <= customer.meteredUntil {
 			ownUse += sent.percentSeconds
 		}
-		return sent.at <= c.meteredUntil
+		return sent.at <= customer.meteredUntil
 	})
-	if c.plan.Rate <= 0 {
-		likelihood := g.readingLikelihood(c, usagePercent/100)
+	if customer.plan.Rate <= 0 {
+		likelihood := g.readingLikelihood(customer, usagePercent/100)
 		for i := range likelihood {
-			if c.meteredTime > 0 {
-				likelihood[i] *= math.Pow(c.readingsLikelihood[i], readingDecay)
+			if customer.meteredTime > 0 {
+				likelihood[i] *= math.Pow(customer.readingsLikelihood[i], readingDecay)
 			}
-			c.readingsLikelihood[i] = likelihood[i]
+			customer.readingsLikelihood[i] = likelihood[i]
 		}
 	}
-	c.meteredUse = readingDecay*c.meteredUse + usagePercent*period.Seconds()
-	c.meteredTime = readingDecay*c.meteredTime + period.Seconds()
-	c.ownUse = readingDecay*c.ownUse + ownUse
-	c.meteredLevel = max(0, min(c.capacity(), c.meteredLevel+(100-usagePercent)*period.Seconds()))
-	if c.meteredLevel > 0 || usagePercent <= 0 {
-		c.passProbability = 1
+	customer.meteredUse = readingDecay*customer.meteredUse + usagePercent*period.Seconds()
+	customer.meteredTime = readingDecay*customer.meteredTime + period.Seconds()
+	customer.ownUse = readingDecay*customer.ownUse + ownUse
+	customer.meteredLevel = max(0, min(customer.capacity(),
+		customer.meteredLevel+(100-usagePercent)*period.Seconds()))
+	if customer.meteredLevel > 0 || usagePercent <= 0 {
+		customer.passProbability = 1
 	} else {
-		c.passProbability = min(1, c.passProbability*100/usagePercent)
+		customer.passProbability = min(1, customer.passProbability*100/usagePercent)
 	}
 }
--- a/internal/gateway/quota_test.go
+++ b/internal/gateway/quota_test.go
@@ -7,13 +7,13 @@
 )
 
 // quotaRig has one customer of the plan "rated": 2 units a second, a burst of 4 units or 200 percent-seconds.
-func quotaRig(t *testing.T) (*rig, *customer) {
+func quotaRig(t *testing.T) (*rig, *customerState) {
 	r := newRig(t, testSettings(), fleet(2)...)
 	r.ask("safe", "rated", 5)
 	return r, r.g.customers[5]
 }
 
-func (r *rig) reading(c *customer, use float64) {
+func (r *rig) reading(c *customerState, use float64) {
 	r.g.now = r.now
 	r.g.onReading(c, use)
 }
--- a/internal/gateway/staleness.go
+++ b/internal/gateway/staleness.go
@@ -3,7 +3,7 @@
 // Staleness of the list of backends, where it must be subscribed to.
 //
 // Discovery may be down or overloaded for longer than a change of the list may go unnoticed. A list that is older than
-// its lease does not show which backends drain by now, and neither does one that was saved before this process
+// its lease does not show which backends are draining by now, and neither does one that was saved before this process
 // started, as its age is not known. Then only an answer of a backend proves that it was not draining when the attempt
 // was sent, or had begun to only shortly before. A backend without such proof is sent nothing, and a request for which
 // there is no other backend is rejected at once.
@@ -32,6 +32,6 @@
 }
 
 // isConfirmed reports whether a valid list or a recent answer shows that the backend is not draining.
-func (g *Gateway) isConfirmed(b *backend) bool {
-	return g.settings.ListLease <= 0 || g.now < max(g.listValidUntil, b.confirmedUntil)
+func (g *Gateway) isConfirmed(backend *trackedBackend) bool {
+	return g.settings.ListLease <= 0 || g.now < max(g.listValidUntil, backend.confirmedUntil)
 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -23,16 +23,16 @@
 // classState is a class and what the gateway has measured of its requests.
 type classState struct {
 	Class
-	admittedValue  float64    // expected value within quotas that is admitted, decaying sum
-	requestedValue float64    // value within quotas that is requested, decaying sum
-	shadowPrice    float64    // shadow price of excess for the class, see adjustPrice
-	meanLatency    float64    // running mean latency of answers, seconds
-	minLatency     float64    // lowest meanLatency, rising slowly to follow changes, seconds
-	firstAttempts  []*request // requests by the time of their first attempt, which may have ended
+	admittedValue  float64         // expected value within quotas that is admitted, decaying sum
+	requestedValue float64         // value within quotas that is requested, decaying sum
+	shadowPrice    float64         // shadow price of excess for the class, see adjustPrice
+	meanLatency    float64         // running mean latency of answers, seconds
+	minLatency     float64         // lowest meanLatency, rising slowly to follow changes, seconds
+	firstAttempts  []*requestState // requests in the order of their first attempts, some of which have ended
 }
 
-// backend is a backend of the list and what the gateway has measured of it.
-type backend struct {
+// trackedBackend is a backend of the list and what the gateway has measured of it.
+type trackedBackend struct {
 	BackendInfo
 	rank            uint64        // position in this gateway's own random order of the backends
 	inFlight        int           // attempts of this gateway in flight
@@ -52,7 +52,7 @@
 
 // attemptState is an attempt of a request.
 type attemptState struct {
-	backend     *backend
+	backend     *trackedBackend
 	slot        *heldSlot
 	sentAt      time.Duration
 	inFlight    bool
@@ -61,12 +61,12 @@
 	result      Result
 }
 
-// request is a request that was admitted or queued.
-type request struct {
+// requestState is a request that was admitted or queued.
+type requestState struct {
 	id       RequestID
 	seq      uint64 // its key in requestsBySeq and the token of its timers
 	class    *classState
-	customer *customer
+	customer *customerState
 	units    float64
 	deadline time.Duration // when its client times out
 	queued   bool          // waits in its customer's queue and has not been sent
@@ -76,7 +76,7 @@
 }
 
 // inFlight reports whether an attempt is in flight. There is never more than one.
-func (r *request) inFlight() bool {
+func (r *requestState) inFlight() bool {
 	return len(r.attempts) > 0 && r.attempts[len(r.attempts)-1].inFlight
 }
 
@@ -86,8 +86,8 @@
 	percentSeconds float64 // units in percent-seconds of the plan's rate
 }
 
-// customer is a customer as seen by this gateway.
-type customer struct {
+// customerState is a customer as seen by this gateway.
+type customerState struct {
 	limits
 	plan            *Plan
 	gateways        float64 // number of gateways that it uses
@@ -128,20 +128,20 @@
 	startedAt          time.Duration
 	initialized        bool // the first event has been handled
 	actions            []Action
-	backends           map[BackendID]*backend
+	backends           map[BackendID]*trackedBackend
 	listValidUntil     time.Duration // end of the lease of the list of backends
-	requests           map[RequestID]*request
-	requestsBySeq      map[uint64]*request
+	requests           map[RequestID]*requestState
+	requestsBySeq      map[uint64]*requestState
 	lastSeq            uint64
-	customers          map[CustomerID]*customer
+	customers          map[CustomerID]*customerState
 	planUsages         map[*Plan]*planUsage
 	meteredBeforeStart bool              // the meter ran before this gateway started
 	population         *stats.Population // distribution of the utilization of a request's customer, by plan
 	pricing            excessPricing
 
-	ranking      ranked.List[*backend] // by rank
-	unavailable  ranked.Bag[*backend]  // backends that are not Ready
-	coldBackends ranked.Bag[*backend]  // cold backends and some that have warmed up since
+	ranking      ranked.List[*trackedBackend] // by rank
+	unavailable  ranked.Bag[*trackedBackend]  // backends that are not Ready
+	coldBackends ranked.Bag[*trackedBackend]  // cold backends and some that have warmed up since
 
 	recentValues []float64 // values of the last medianWindow arrivals
 	medianValue  float64   // their median, the boundary between the tiers
@@ -179,7 +179,7 @@
 	// this gateway's share of MaxInFlight is less than one.
 	inFlightCredit       float64
 	inFlightCreditAt     time.Duration
-	queue                []*request      // requests that wait for an attempt to end; some have ended
+	queue                []*requestState // requests that wait for an attempt to end; some have ended
 	usage                *planUsage      // of the customer's plan
 	recentArrivals       []time.Duration // times of its latest requests through this gateway
 	arrivalsSince        time.Duration   // recentArrivals is complete since then
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -18,19 +18,20 @@
 	maxSamples           = 128         // latest readings from which the distributions are estimated
 	emRounds             = 10          // rounds of the EM algorithm per second, starting from the last estimate
 	requestWeight        = 1.0 / 64    // weight of one request in the running means of planUsage
-	minSampleAdmission   = 1.0 / 5     // least admission probability by which a reading is weighted
+	minSampleAdmission   = 1.0 / 5     // least admission probability whose inverse weights a reading
 	arrivalWindow        = 20 * second // age up to which arrivals of a customer without readings are evidence
 	maxArrivals          = 16          // latest arrivals that are kept of a customer
 	meanChangeInterval   = 20 * second // mean time between changes of a customer's utilization
 	maxLevelLearningTime = 10.0        // seconds of readings after which even a slow bucket's level is known
 	freshRefills         = 10.0        // refill times of a bucket during which it matters that it was full at the start
-	maxReadInFlight      = 64          // most attempts in flight that a reading is taken to report
+	maxReadInFlight      = 64          // most attempts in flight at once that a reading is taken to report
 	minLikelihood        = 1e-6        // of a reading at any utilization: customers are less regular than the formulas
-	minExposure          = 0.05        // requests expected at the whole quota; below, no arrival is no evidence
+	minExposure          = 0.05        // expected requests at the whole quota; below it, no arrivals are no evidence
 	minUtilizationWeight = 0.002       // utilizations with a lower probability are skipped
 
-	// The probability that a bucket has too little is that of a full M/M/1/K queue, to within 0.04, if the queue has so
-	// many places for each request that the full bucket allows, less the offset.
+	// The probability that a bucket has too little for a request is approximated, to within 0.04, by that of a full
+	// M/M/1/K queue with queuePlacesPerRequest places for each request that the full bucket allows, less
+	// queuePlacesOffset.
 	queuePlacesPerRequest = 1.5
 	queuePlacesOffset     = 0.5
 )
@@ -58,17 +59,17 @@
 // inFlightAtQuota returns the mean number of attempts in flight of a customer that uses its whole quota. It is
 // computed from the mean latency and is at most half of the limit on attempts in flight: a higher mean would keep the
 // customer from using its quota. Without a rate it is that half, and the utilization is counted in multiples of it.
-func (g *Gateway) inFlightAtQuota(c *customer) float64 {
-	halfLimit := float64(c.plan.MaxInFlight) / 2
-	if c.plan.Rate <= 0 {
+func (g *Gateway) inFlightAtQuota(customer *customerState) float64 {
+	halfLimit := float64(customer.plan.MaxInFlight) / 2
+	if customer.plan.Rate <= 0 {
 		return halfLimit
 	}
-	return min(halfLimit, c.plan.Rate/max(c.usage.meanUnits, 1e-6)*g.meanLatency)
+	return min(halfLimit, customer.plan.Rate/max(customer.usage.meanUnits, 1e-6)*g.meanLatency)
 }
 
 // requestInterval returns the seconds between two requests of a customer that uses its whole quota. It assumes
 // requests of the one size that has the same variance of the use as the true sizes.
-func (c *customer) requestInterval() float64 {
+func (c *customerState) requestInterval() float64 {
 	if c.plan.Rate <= 0 {
 		return max(1e-6, c.meterPeriod)
 	}
@@ -77,7 +78,7 @@
 
 // recordArrival records a request of the customer through this gateway. It is evidence of the customer's utilization
 // whether or not it is admitted.
-func (c *customer) recordArrival(now time.Duration) {
+func (c *customerState) recordArrival(now time.Duration) {
 	if len(c.recentArrivals) == maxArrivals {
 		c.recentArrivals = slices.Delete(c.recentArrivals, 0, maxArrivals/2)
 		c.arrivalsSince = c.recentArrivals[0]
@@ -89,34 +90,35 @@
 // the last metered period. The utilization may have changed since, and then a request comes from a customer with a
 // probability proportional to its new utilization. The arrivals since then at this gateway, with its share of the
 // customer's requests, are evidence of the present.
-func (g *Gateway) utilizationOf(c *customer) stats.Weights {
-	interval, age := c.requestInterval(), readingDelay*c.meterPeriod
-	utilization := *c.usage.utilization
+func (g *Gateway) utilizationOf(customer *customerState) stats.Weights {
+	interval, age := customer.requestInterval(), readingDelay*customer.meterPeriod
+	utilization := *customer.usage.utilization
 	from := max(g.startedAt, g.now-arrivalWindow)
-	if c.meteredTime > 0 {
-		age = max(0, (g.now - c.meteredUntil).Seconds())
-		decay := math.Pow(readingDecay, age/max(c.meterPeriod, 1e-3))
-		likelihood := c.readingsLikelihood
-		if c.plan.Rate > 0 {
-			likelihood = utilizationGrid.Likelihood(decay*c.meteredUse/100/interval, decay*c.meteredTime/interval)
+	if customer.meteredTime > 0 {
+		age = max(0, (g.now - customer.meteredUntil).Seconds())
+		decay := math.Pow(readingDecay, age/max(customer.meterPeriod, 1e-3))
+		likelihood := customer.readingsLikelihood
+		if customer.plan.Rate > 0 {
+			likelihood = utilizationGrid.Likelihood(decay*customer.meteredUse/100/interval,
+				decay*customer.meteredTime/interval)
 		}
 		utilization = utilization.Posterior(&likelihood)
-		from = c.meteredUntil
+		from = customer.meteredUntil
 	}
-	changeProbability := 1 - math.Exp(-(age+c.meterPeriod/2)/meanChangeInterval.Seconds())
-	afterChange := c.usage.utilization.Posterior(&utilizationGrid.Rate)
+	changeProbability := 1 - math.Exp(-(age+customer.meterPeriod/2)/meanChangeInterval.Seconds())
+	afterChange := customer.usage.utilization.Posterior(&utilizationGrid.Rate)
 	for i := range utilization {
 		utilization[i] += changeProbability * (afterChange[i] - utilization[i])
 	}
-	if c.plan.Rate > 0 {
-		from = max(from, c.arrivalsSince)
+	if customer.plan.Rate > 0 {
+		from = max(from, customer.arrivalsSince)
 		count := 0.0
-		for _, at := range c.recentArrivals {
+		for _, at := range customer.recentArrivals {
 			count += float64(boolToInt(at >= from))
 		}
-		exposure := max(0, (g.now-from).Seconds()) / (interval * c.fleetMultiple())
+		exposure := max(0, (g.now-from).Seconds()) / (interval * customer.fleetMultiple())
 		if count > 0 || exposure > minExposure {
-			likelihood := utilizationGrid.Likelihood(c.usage.meanAdmission*count, exposure)
+			likelihood := utilizationGrid.Likelihood(customer.usage.meanAdmission*count, exposure)
 			utilization = utilization.Posterior(&likelihood)
 		}
 	}
@@ -126,15 +128,16 @@
 // excessProbability returns the probability that a request of a customer of the given utilization is beyond its quota
 // because of what other gateways send. One of two gateways meets all of a customer's requests and relies on its own
 // projection of the bucket instead.
-func (g *Gateway) excessProbability(c *customer, utilization *stats.Weights, units float64) float64 {
-	limit := float64(c.plan.MaxInFlight)
-	limitShared := c.plan.MaxInFlight > 0 && limit < c.gateways
-	inFlightElsewhere := c.othersShare() / (c.gateways - 1) * g.inFlightAtQuota(c) // per other gateway
+func (g *Gateway) excessProbability(customer *customerState, utilization *stats.Weights, units float64) float64 {
+	limit := float64(customer.plan.MaxInFlight)
+	limitShared := customer.plan.MaxInFlight > 0 && limit < customer.gateways
+	// inFlightElsewhere is the mean number of attempts in flight per other gateway, at a utilization of 1.
+	inFlightElsewhere := customer.othersShare() / (customer.gateways - 1) * g.inFlightAtQuota(customer)
 	unseenShare := 0.0
 	var bucket stats.Bucket
-	if c.plan.Rate > 0 && units > 0 {
-		unseenShare = 1 - min(1, 2/c.gateways)
-		bucket = g.bucketEstimate(c, units)
+	if customer.plan.Rate > 0 && units > 0 {
+		unseenShare = 1 - min(1, 2/customer.gateways)
+		bucket = g.bucketEstimate(customer, units)
 	}
 	excess := 0.0
 	for i, weight := range utilization {
@@ -146,8 +149,8 @@
 			within -= unseenShare * bucket.Short(rate, utilizationGrid.Log(i))
 		}
 		if limitShared {
-			within *= stats.BinomialBelow(c.plan.MaxInFlight, c.gateways-1,
-				min(limit/c.gateways, rate*inFlightElsewhere))
+			within *= stats.BinomialBelow(customer.plan.MaxInFlight, customer.gateways-1,
+				min(limit/customer.gateways, rate*inFlightElsewhere))
 		}
 		excess += weight * (1 - within)
 	}
@@ -155,41 +158,42 @@
 }
 
 // bucketEstimate returns what is known of the customer's token bucket before a request of so many units.
-func (g *Gateway) bucketEstimate(c *customer, units float64) stats.Bucket {
-	interval, rate := c.requestInterval(), c.plan.Rate
+func (g *Gateway) bucketEstimate(customer *customerState, units float64) stats.Bucket {
+	interval, rate := customer.requestInterval(), customer.plan.Rate
 	filled := (g.now - g.startedAt).Seconds()
-	estimate := stats.Bucket{Places: queuePlacesPerRequest*max(1, c.plan.Burst/units) - queuePlacesOffset,
-		Filled: filled / interval, Full: (c.plan.Burst - units) / rate / interval,
-		Fresh: !g.meteredBeforeStart && filled < freshRefills*c.plan.Burst/rate}
-	if c.meteredTime == 0 {
+	estimate := stats.Bucket{Places: queuePlacesPerRequest*max(1, customer.plan.Burst/units) - queuePlacesOffset,
+		Filled: filled / interval, Full: (customer.plan.Burst - units) / rate / interval,
+		Fresh: !g.meteredBeforeStart && filled < freshRefills*customer.plan.Burst/rate}
+	if customer.meteredTime == 0 {
 		return estimate
 	}
-	estimate.Known = 1 - math.Exp(-(g.now-c.meteredSince).Seconds()/min(maxLevelLearningTime, c.plan.Burst/rate))
-	estimate.Spare = (c.meteredLevel/100 - units/rate) / interval
-	for _, sent := range c.recentSends {
+	estimate.Known = 1 - math.Exp(-(g.now-customer.meteredSince).Seconds()/
+		min(maxLevelLearningTime, customer.plan.Burst/rate))
+	estimate.Spare = (customer.meteredLevel/100 - units/rate) / interval
+	for _, sent := range customer.recentSends {
 		estimate.Spare -= sent.percentSeconds / 100 / interval
 	}
-	estimate.Refill = max(0, (g.now-c.meteredUntil).Seconds()) / interval
-	estimate.Others = c.othersShare()
+	estimate.Refill = max(0, (g.now-customer.meteredUntil).Seconds()) / interval
+	estimate.Others = customer.othersShare()
 	return estimate
 }
 
 // othersShare returns the share of the customer's use that comes through other gateways.
-func (c *customer) othersShare() float64 { return 1 - 1/c.fleetMultiple() }
+func (c *customerState) othersShare() float64 { return 1 - 1/c.fleetMultiple() }
 
 // readingLikelihood returns the likelihood of a reading, in multiples of the quota, at each utilization. The reading
 // of a plan with a rate counts the requests of a Poisson process in a period; of one without, it is the largest number
 // of attempts of the customer in flight at once in the period.
-func (g *Gateway) readingLikelihood(c *customer, utilization float64) stats.Weights {
-	if c.plan.Rate > 0 {
-		exposure := c.meterPeriod / c.requestInterval()
+func (g *Gateway) readingLikelihood(customer *customerState, utilization float64) stats.Weights {
+	if customer.plan.Rate > 0 {
+		exposure := customer.meterPeriod / customer.requestInterval()
 		return utilizationGrid.Likelihood(utilization*exposure, exposure)
 	}
-	maxInFlight := int(min(maxReadInFlight, math.Round(utilization*float64(c.plan.MaxInFlight))))
-	services := c.meterPeriod / g.meanLatency
+	maxInFlight := int(min(maxReadInFlight, math.Round(utilization*float64(customer.plan.MaxInFlight))))
+	services := customer.meterPeriod / g.meanLatency
 	var likelihood stats.Weights
 	for i, rate := range utilizationGrid.Rate {
-		meanInFlight := rate * g.inFlightAtQuota(c)
+		meanInFlight := rate * g.inFlightAtQuota(customer)
 		probability := stats.MostPresent(maxInFlight, meanInFlight, services) -
 			stats.MostPresent(maxInFlight-1, meanInFlight, services)
 		likelihood[i] = max(minLikelihood, probability)
@@ -200,13 +204,13 @@
 // learnUsage adds a reading of a customer, its use in one period in multiples of the quota, to the population. The
 // probability with which requests were admitted depended on the utilization, so a reading is weighted by its inverse:
 // it also stands for the requests that were rejected.
-func (g *Gateway) learnUsage(c *customer, utilization float64) {
-	if c.meterPeriod <= 0 {
+func (g *Gateway) learnUsage(customer *customerState, utilization float64) {
+	if customer.meterPeriod <= 0 {
 		return
 	}
 	if g.now-g.startedAt < g.settings.MeterPeriod { // the reading is of a period that began before the start
 		g.meteredBeforeStart = true
 	}
-	g.population.Add(stats.Sample{Likelihood: g.readingLikelihood(c, utilization), Group: c.usage.populationGroup,
-		Weight: 1 / max(minSampleAdmission, c.admissionProbability)})
+	g.population.Add(stats.Sample{Likelihood: g.readingLikelihood(customer, utilization),
+		Group: customer.usage.populationGroup, Weight: 1 / max(minSampleAdmission, customer.admissionProbability)})
 }
