--- a/internal/frontdoor/backends.go
+++ b/internal/frontdoor/backends.go
@@ -129,7 +129,7 @@
 		}
 		current.startedMS, current.state = listed.StartedMS, backendStates[listed.State]
 		infos = append(infos, gateway.BackendInfo{ID: current.id, State: current.state, Zone: listed.Zone,
-			Kind: listed.Kind, Cell: listed.Cell, Started: clk.unixMilli(listed.StartedMS), Weight: listed.Weight})
+			MachineType: listed.Kind, Cell: listed.Cell, Started: clk.unixMilli(listed.StartedMS), Weight: listed.Weight})
 	}
 	if list.Full {
 		for host, current := range b.byHost {
@@ -192,7 +192,7 @@
 		return outcome
 	}
 	outcome.result = readFailureResult(ctx, err)
-	if outcome.result == gateway.Broken || outcome.result == gateway.Unknown {
+	if outcome.result == gateway.ConnectionBroken || outcome.result == gateway.Unknown {
 		b.logFailure(endpoint, err)
 	}
 	return outcome
@@ -220,7 +220,7 @@
 	case ctx.Err() != nil:
 		return gateway.TimedOut
 	case errors.Is(err, errNoResponse):
-		return gateway.Broken
+		return gateway.ConnectionBroken
 	}
 	return gateway.Unknown // a malformed response: it shows no outage of the backend, and the request may have run
 }
@@ -308,7 +308,7 @@
 	defer cancel()
 	start := time.Now()
 	outcome := b.send(ctx, ctx, id, request)
-	result.Result, result.Took, result.Load = outcome.result, time.Since(start), outcome.load
+	result.Result, result.Duration, result.Load = outcome.result, time.Since(start), outcome.load
 	if b.requestLoad && outcome.result == gateway.Answered {
 		result.Load = b.parseLoad(strings.TrimSpace(string(outcome.body)))
 	}
--- a/internal/frontdoor/clients.go
+++ b/internal/frontdoor/clients.go
@@ -147,7 +147,7 @@
 	if s.killTime.Load() != nil {
 		return false
 	}
-	return !s.settings.AskForList || s.loop.hasList.Load() || time.Since(s.started) >= firstListTimeout
+	return !s.settings.SubscribeToList || s.loop.hasList.Load() || time.Since(s.started) >= firstListTimeout
 }
 
 // ServeHTTP serves one request, which receives exactly one final response.
@@ -183,7 +183,7 @@
 // context.Canceled if the client has disconnected, context.DeadlineExceeded at the end of the client's timeout.
 func (s *Server) serve(r *http.Request, parsed parsedRequest, arrived time.Time) (finalResponse, error) {
 	forGateway, forResponse := margins(parsed.timeout)
-	parsed.req.Patience = parsed.timeout - forGateway - time.Since(arrived)
+	parsed.req.Timeout = parsed.timeout - forGateway - time.Since(arrived)
 	ctx, cancel := context.WithDeadline(r.Context(), arrived.Add(parsed.timeout-forResponse))
 	defer cancel()
 	parsed.forwarded.disconnected = disconnectCheck(r, cancel)
--- a/internal/frontdoor/loop.go
+++ b/internal/frontdoor/loop.go
@@ -100,7 +100,7 @@
 // service may have received right after its confirmation. The result is 0, which means no limit, for pushed lists: the
 // protocol expects a gateway to know immediately what its agent holds.
 func listLease(config Config) time.Duration {
-	if !config.Settings.AskForList {
+	if !config.Settings.SubscribeToList {
 		return 0
 	}
 	return max(stalenessBound/2, stalenessBound-leaseMargin-config.Connections.ConnectTimeout)
@@ -146,7 +146,7 @@
 // response: Serve notifies the gateway that the client has disconnected, and returns the context's error. If another
 // request with the same ID is in progress, Serve returns errDuplicateRequestID.
 func (l *Loop) Serve(ctx context.Context, req gateway.Request, forwarded *forwardedRequest) (finalResponse, error) {
-	pending := &pendingRequest{id: req.ID, forwarded: forwarded, deadline: time.Now().Add(req.Patience),
+	pending := &pendingRequest{id: req.ID, forwarded: forwarded, deadline: time.Now().Add(req.Timeout),
 		response: make(chan finalResponse, 1)}
 	if err := l.register(pending, req); err != nil {
 		return finalResponse{}, err
@@ -263,8 +263,8 @@
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	writeCtx, cancelWrite := context.WithCancel(ctx)
-	if action.Within > 0 {
-		writeCtx, cancelWrite = context.WithTimeout(ctx, action.Within)
+	if action.StartWithin > 0 {
+		writeCtx, cancelWrite = context.WithTimeout(ctx, action.StartWithin)
 	}
 	pending.attempts = append(pending.attempts, attempt{cancelWrite: cancelWrite, cancel: cancel})
 	pending.attemptsInFlight++
@@ -273,7 +273,7 @@
 		defer cancel() // ends writeCtx as well, which is derived from ctx
 		outcome := l.backends.send(ctx, writeCtx, action.Backend, pending.forwarded)
 		l.endAttempt(pending, outcome, gateway.Outcome{Request: pending.id, Backend: action.Backend, Attempt: index,
-			Result: outcome.result, Took: l.clock.now() - sent, HasUse: outcome.hasUsage, Use: outcome.usage,
+			Result: outcome.result, Duration: l.clock.now() - sent, HasUsage: outcome.hasUsage, UsagePercent: outcome.usage,
 			Load: outcome.load})
 	}()
 }
--- a/internal/frontdoor/pace.go
+++ b/internal/frontdoor/pace.go
@@ -15,7 +15,7 @@
 
 // newRetryPolicy returns the policy for a configuration.
 func newRetryPolicy(config Config) retryPolicy {
-	policy := retryPolicy{sharedService: config.Settings.AskForList,
+	policy := retryPolicy{sharedService: config.Settings.SubscribeToList,
 		staleAfterFailure: failedRequestFactor * config.Connections.StalenessBound, drainGrace: config.Settings.DrainGrace}
 	if policy.drainGrace <= 0 { // the settings don't state it
 		policy.drainGrace = 500 * time.Millisecond
--- a/internal/frontdoor/requests.go
+++ b/internal/frontdoor/requests.go
@@ -150,7 +150,7 @@
 	if method == http.MethodGet && head.ContentLength != 0 {
 		return &badFieldError{"a GET with a body", head.RequestURI}
 	}
-	if class.Effect == gateway.Keyed && head.single[headerIdempotencyKey] == "" {
+	if class.Effect == gateway.Deduplicated && head.single[headerIdempotencyKey] == "" {
 		return head.invalid(headerIdempotencyKey)
 	}
 	return nil
@@ -204,7 +204,7 @@
 			req.Units, err = strconv.ParseFloat(value, 64)
 		case "spread":
 			duplicate, hasSpread = hasSpread, true
-			req.Spread, err = strconv.Atoi(value)
+			req.GatewayCount, err = strconv.Atoi(value)
 		case "first":
 			duplicate, hasFirst = hasFirst, true
 			req.FirstGateway, err = strconv.Atoi(value)
@@ -223,8 +223,8 @@
 func (s *Server) validTerms(req *gateway.Request) bool {
 	settings := s.settings
 	return req.Units > 0 && !math.IsInf(req.Units, 0) &&
-		(settings.LargestUnits <= 0 || req.Units <= settings.LargestUnits) &&
-		req.Spread >= 1 && req.Spread <= settings.Gateways &&
+		(settings.MaxRequestUnits <= 0 || req.Units <= settings.MaxRequestUnits) &&
+		req.GatewayCount >= 1 && req.GatewayCount <= settings.Gateways &&
 		req.FirstGateway >= 0 && req.FirstGateway < settings.Gateways
 }
 
--- a/internal/frontdoor/responses.go
+++ b/internal/frontdoor/responses.go
@@ -52,7 +52,7 @@
 		response.Header.Get("Not-Started") == "1":
 		outcome.result = gateway.Rejected
 	default:
-		outcome.result = gateway.AnsweredErr // the request may have run
+		outcome.result = gateway.AnsweredError // the request may have run
 	}
 	if usage, err := strconv.ParseFloat(response.Header.Get("X-RateLimit-Used"), 64); err == nil &&
 		usage >= 0 && usage <= maxUsagePercent {
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -5,76 +5,80 @@
 	"slices"
 )
 
-// Admission: the quota, the tier, the reserves, then a backend.
+// Admission of requests.
 
 const (
-	medianOver = 256 // recent arrivals that the tier boundary is the median of
+	medianWindow = 256 // latest arrivals whose median value is the boundary between the tiers
 )
 
-// onRequest is the ordinary path: the quota, the tier, the reserves, then a backend.
+// onRequest admits, queues or rejects a request: it checks the quota, the ceiling, the price of excess and
+// the limit on attempts in flight, in this order.
 func (g *Gateway) onRequest(ev Request) {
 	if g.requests[ev.ID] != nil {
 		return
 	}
-	cl, plan := g.classes[ev.Class], g.plans[ev.Plan]
-	if cl == nil || plan == nil || !(ev.Units >= 0) || math.IsInf(ev.Units, 0) || ev.Patience <= 0 {
-		g.act(Reject{Request: ev.ID})
+	class, plan := g.classes[ev.Class], g.plans[ev.Plan]
+	if class == nil || plan == nil || !(ev.Units >= 0) || math.IsInf(ev.Units, 0) || ev.Timeout <= 0 {
+		g.emit(Reject{Request: ev.ID})
 		return
 	}
-	c := g.customer(ev, plan)
-	if !g.withinQuota(c, ev.Units) || !g.underCeiling(c, ev.Units) || !g.admitExcess(c, cl, ev.Units) {
-		g.act(Reject{ev.ID, g.untilQuota(c, ev.Units)})
+	customer := g.customerFor(ev, plan)
+	if !g.withinQuota(customer, ev.Units) || !g.withinCeiling(customer, ev.Units) ||
+		!g.admitExcess(customer, class, ev.Units) {
+		g.emit(Reject{ev.ID, g.retryAfterQuota(customer, ev.Units)})
 		return
 	}
-	g.seq++
-	r := &request{id: ev.ID, seq: g.seq, class: cl, customer: c, units: ev.Units,
-		deadline: g.now + ev.Patience}
-	g.dequeue(c)
+	g.lastSeq++
+	request := &requestState{id: ev.ID, seq: g.lastSeq, class: class, customer: customer, units: ev.Units,
+		deadline: g.now + ev.Timeout}
+	g.dequeue(customer)
 	switch {
-	case len(c.queue) == 0 && g.underOpenLimit(c):
-		g.admit(r)
-	case !g.enqueue(r):
-		g.act(Reject{ev.ID, g.untilSlot()})
+	case len(customer.queue) == 0 && g.withinInFlightLimit(customer):
+		g.admit(request)
+	case !g.enqueue(request):
+		g.emit(Reject{ev.ID, g.retryAfterSlot()})
 	}
 }
 
-// admit gives a request that its quota has room for a slot and a backend, or refuses it at once.
-func (g *Gateway) admit(r *request) {
-	c, plan := r.customer, r.customer.plan
-	worth := r.class.Worth * plan.Price * r.units
-	high := g.isHigh(worth)
-	t := &g.tiers[b2i(high)]
-	t.arrivals++
-	t.worth += worth
-	b := g.choose(r)
-	var s *slot
-	if b != nil {
-		s = g.takeSlot(high)
+// admit sends a request that is within its customer's limits, if a backend is available and a slot of the
+// request's tier. Otherwise it rejects the request at once.
+func (g *Gateway) admit(request *requestState) {
+	customer, plan := request.customer, request.customer.plan
+	value := request.class.Value * plan.ValueFactor * request.units
+	highValue := g.isHighValue(value)
+	tier := &g.tiers[boolToInt(highValue)]
+	tier.arrivals++
+	tier.value += value
+	backend := g.chooseBackend(request)
+	var slot *heldSlot
+	if backend != nil {
+		slot = g.takeSlot(highValue)
 	}
-	if s == nil {
-		g.act(Reject{r.id, g.untilSlot()})
-		g.end(r)
+	if slot == nil {
+		g.emit(Reject{request.id, g.retryAfterSlot()})
+		g.end(request)
 		return
 	}
-	g.requests[r.id], g.bySeq[r.seq] = r, r
-	c.ceilingLevel -= r.units
+	g.requests[request.id], g.requestsBySeq[request.seq] = request, request
+	customer.ceilingLevel -= request.units
 	if plan.Rate > 0 {
-		if len(c.recentSends) == mostDraws { // no readings: the older half goes into the bucket
-			at := c.recentSends[mostDraws/2-1].at
-			c.bucket, c.bucketAt = c.bucketLevel(at), at
-			c.recentSends = slices.Delete(c.recentSends, 0, mostDraws/2)
+		if len(customer.recentSends) == maxRecentSends { // the older half is merged into meteredLevel
+			at := customer.recentSends[maxRecentSends/2-1].at
+			customer.meteredLevel, customer.meteredUntil = customer.bucketLevel(at), at
+			customer.recentSends = slices.Delete(customer.recentSends, 0, maxRecentSends/2)
 		}
-		c.recentSends = append(c.recentSends, sentUnits{g.now, 100 * r.units / plan.Rate})
+		customer.recentSends = append(customer.recentSends, sentUnits{g.now, 100 * request.units / plan.Rate})
 	}
-	g.send(r, b, s)
-	r.class.first = append(r.class.first, r)
-	g.act(SetTimer{After: r.deadline - g.now, Token: r.seq})
+	g.send(request, backend, slot)
+	request.class.firstAttempts = append(request.class.firstAttempts, request)
+	g.emit(SetTimer{After: request.deadline - g.now, Token: request.seq})
 }
 
-// isHigh compares a worth with the recent median.
-func (g *Gateway) isHigh(worth float64) bool {
-	if g.recentValues = append(g.recentValues, worth); len(g.recentValues) > medianOver {
+// isHighValue reports whether the value is above the recent median, and adds it to the values of the next
+// median.
+func (g *Gateway) isHighValue(value float64) bool {
+	if g.recentValues = append(g.recentValues, value); len(g.recentValues) > medianWindow {
 		g.recentValues = g.recentValues[1:]
 	}
-	return worth > g.medianValue
+	return value > g.medianValue
 }
--- a/internal/gateway/selection.go
+++ b/internal/gateway/selection.go
@@ -6,99 +6,110 @@
 	"time"
 )
 
-// The list of backends, and the choice of one for an attempt.
+// The list of backends, and the choice of a backend for an attempt.
 
-func (g *Gateway) onList(ev BackendList) {
+// onBackendList applies an update of the list of backends.
+func (g *Gateway) onBackendList(ev BackendList) {
 	if ev.Kind == ListFailed {
-		if g.settings.AskForList {
-			g.act(Subscribe{})
+		if g.settings.SubscribeToList {
+			g.emit(Subscribe{})
 		}
 		return
 	}
-	g.confirm(ev.Kind)
+	g.renewListLease(ev.Kind)
 	if ev.Kind != ListChanges {
-		for b := range g.ranking.All() {
-			b.State = Gone
-			g.unavailable.Add(b)
+		for backend := range g.ranking.All() {
+			backend.State = Gone
+			g.unavailable.Add(backend)
 		}
 	}
 	for _, info := range ev.Backends {
-		b := g.backends[info.ID]
-		if b == nil {
+		backend := g.backends[info.ID]
+		if backend == nil {
 			if info.State == Gone {
 				continue
 			}
-			b = &backend{slow: 1, overdueAt: g.now, tokensAt: g.now, rank: g.rng.Uint64()}
-			g.backends[info.ID] = b
-			g.ranking.Insert(b.rank, b)
+			backend = &trackedBackend{slowness: 1, overdueAt: g.now, tokensAt: g.now, rank: g.rng.Uint64()}
+			g.backends[info.ID] = backend
+			g.ranking.Insert(backend.rank, backend)
 		}
-		if info.Started > b.coldSince && info.Started > 0 {
-			b.cold, b.coldSince = true, info.Started
-			b.slow, b.overdue, b.holdUntil, b.tokens, b.tokensAt = 1, 0, 0, g.rng.Float64(), g.now
-			g.coldBackends.Add(b)
+		if info.Started > backend.coldSince && info.Started > 0 {
+			backend.cold, backend.coldSince = true, info.Started
+			backend.slowness, backend.overdue, backend.backoffUntil, backend.tokens, backend.tokensAt =
+				1, 0, 0, g.rng.Float64(), g.now
+			g.coldBackends.Add(backend)
 		}
-		if b.BackendInfo = info; info.State != Ready {
-			g.unavailable.Add(b)
+		if backend.BackendInfo = info; info.State != Ready {
+			g.unavailable.Add(backend)
 		}
 	}
-	g.unavailable.Retain(func(b *backend) bool {
-		if b.State == Gone && b.out == 0 {
-			delete(g.backends, b.ID)
-			g.ranking.Delete(b.rank)
+	g.unavailable.Retain(func(backend *trackedBackend) bool {
+		if backend.State == Gone && backend.inFlight == 0 {
+			delete(g.backends, backend.ID)
+			g.ranking.Delete(backend.rank)
 			return false
 		}
-		return b.State != Ready
+		return backend.State != Ready
 	})
 }
 
-// choose picks the ready backend where a further attempt should be answered first: least attempts out times
-// its slowness, with silent ones costing more. Where it keeps to many, it looks at some of them, drawn anew.
-func (g *Gateway) choose(r *request) *backend {
-	var best *backend
-	least, seen, warm, known := math.Inf(1), 0.0, 0.0, g.subsetSize()
-	for walk := g.ranking.Walk(int(known), mostLooked, g.rng); seen < min(known, mostLooked) && walk.Next(); {
-		b := walk.Value()
-		if b.State != Ready || g.now < b.holdUntil || !g.fresh(b) || !g.eligible(r, b) {
+// chooseBackend returns the ready backend that should answer a further attempt of the request first, or nil
+// if there is none: the one with the fewest attempts in flight times its slowness, with a penalty for overdue
+// answers and a random factor of up to 5% against ties. If the subset is large, it examines a part of it that
+// is drawn at random each time.
+func (g *Gateway) chooseBackend(request *requestState) *trackedBackend {
+	var best *trackedBackend
+	minCost, responsive, totalCapacity, size := math.Inf(1), 0.0, 0.0, g.subsetSize()
+	for walk := g.ranking.Walk(int(size), maxCandidates, g.rng); responsive < min(size, maxCandidates) &&
+		walk.Next(); {
+		backend := walk.Value()
+		if backend.State != Ready || g.now < backend.backoffUntil || !g.isConfirmed(backend) ||
+			!g.eligible(request, backend) {
 			continue
 		}
-		owed := g.updateOverdue(b)
-		seen += float64(b2i(owed <= quietFor))
-		if turn := g.coldToken(b, &warm); turn > 0 {
-			quiet := 1 + max(0, owed-quietFor)
-			cost := float64(b.out+1) * b.slow * quiet * (1 + 0.05*g.rng.Float64()) * turn
-			if cost < least {
-				best, least = b, cost
+		overdue := g.updateOverdue(backend)
+		responsive += float64(boolToInt(overdue <= overdueThreshold))
+		if slowStartFactor := g.slowStartFactor(backend, &totalCapacity); slowStartFactor > 0 {
+			overduePenalty := 1 + max(0, overdue-overdueThreshold)
+			cost := float64(backend.inFlight+1) * backend.slowness * overduePenalty *
+				(1 + 0.05*g.rng.Float64()) * slowStartFactor
+			if cost < minCost {
+				best, minCost = backend, cost
 			}
 		}
 	}
 	return best
 }
 
-// eligible is rule 2 and good sense: not where the request was before, and, once it may have run, only inside
-// the group that drops its repeats and the time that the group remembers it.
-func (g *Gateway) eligible(r *request, b *backend) bool {
-	if g.ranking.Len() > 1 && slices.ContainsFunc(r.attempts, func(t attempt) bool { return t.b == b }) {
+// eligible reports whether the request may be sent to the backend. A request is not sent to the same backend
+// twice, unless there is only one. Once a request may have run and is not Safe to repeat, it is sent only to
+// backends that drop its repeats, and only as long as they do, so that it does not run twice.
+func (g *Gateway) eligible(request *requestState, backend *trackedBackend) bool {
+	if g.ranking.Len() > 1 &&
+		slices.ContainsFunc(request.attempts,
+			func(earlier attemptState) bool { return earlier.backend == backend }) {
 		return false
 	}
-	t, group := r.mayHaveRun(), r.class.Group
-	if t == nil || r.class.Effect == Safe {
+	attempt, scope := request.mayHaveRun(), request.class.Scope
+	if attempt == nil || request.class.Effect == Safe {
 		return true
 	}
-	return r.class.Effect == Keyed && g.keyRemaining(r, t) > 0 &&
-		(group != GroupZone || t.b.Zone == b.Zone) && (group != GroupCell || t.b.Cell == b.Cell)
+	return request.class.Effect == Deduplicated && g.dedupRemaining(request, attempt) > 0 &&
+		(scope != ScopeZone || attempt.backend.Zone == backend.Zone) &&
+		(scope != ScopeCell || attempt.backend.Cell == backend.Cell)
 }
 
-// keyRemaining is for how long yet the backends remember an attempt that may have run.
-func (g *Gateway) keyRemaining(r *request, t *attempt) time.Duration {
-	return r.class.KeyWindow - g.settings.AnswerGrace - (g.now - t.sent)
+// dedupRemaining returns how much longer the backends drop repeats of an attempt that may have run.
+func (g *Gateway) dedupRemaining(request *requestState, attempt *attemptState) time.Duration {
+	return request.class.DedupWindow - g.settings.AnswerGrace - (g.now - attempt.sentAt)
 }
 
-// mayHaveRun is the first attempt that may have run, or nil.
-func (r *request) mayHaveRun() *attempt {
+// mayHaveRun returns the first attempt that may have run, or nil.
+func (r *requestState) mayHaveRun() *attemptState {
 	for i := range r.attempts {
-		t := &r.attempts[i]
-		if t.open || !slices.Contains([]Result{Rejected, NoConnection, NotSent}, t.result) {
-			return t
+		attempt := &r.attempts[i]
+		if attempt.inFlight || !slices.Contains([]Result{Rejected, NoConnection, NotSent}, attempt.result) {
+			return attempt
 		}
 	}
 	return nil
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -8,193 +8,209 @@
 	"herontiller/internal/stats"
 )
 
-// How much of their quotas customers use over all gateways. One of many gateways meets most customers once, so it
-// keeps a distribution of the use for each plan, estimated from the meter's readings by empirical Bayes: the prior
-// below counts only until some dozens of readings of any plan are in, and these only until as many of the plan
-// itself are.
+// The utilization of the customers: how much of their quotas they use over all gateways. One of many gateways meets
+// most customers once, so it keeps a distribution of the utilization for each plan, estimated from the readings of the
+// meter by empirical Bayes. The prior below counts only until some dozens of readings of any plan are in, and those
+// count only until as many of the plan itself are in.
 
 const (
-	priorReadings = 4.0         // readings of a known use that the prior counts for, and all plans beside one
-	mostSamples   = 128         // latest readings that the estimate goes by
-	refineRounds  = 10          // rounds of the EM algorithm a second, from the last second's estimate on
-	unitsFade     = 1.0 / 64    // weight of one request in the means of units and of admission
-	leastSampled  = 1.0 / 5     // least probability that a reading's request is taken to have been admitted with
-	arrivalsFor   = 20 * second // time for which the arrivals of a customer without readings are evidence
-	mostArrivals  = 16          // latest arrivals of a customer that are kept
-	changeEvery   = 20 * second // mean time between changes of a customer's use
-	longestFollow = 10.0        // seconds of readings after which a bucket's level is known, however slowly it fills
-	drainsIn      = 10.0        // times that a bucket refills in within which it matters that it was full at the start
-	mostRead      = 64          // attempts out at once that a reading is taken to tell of at most
-	leastLikely   = 1e-6        // likelihood of a reading at any use: customers are not as regular as the formulas
-	leastExposure = 0.05        // requests expected at the whole quota under which no arrival is no evidence
-	leastWeight   = 0.002       // uses less likely are passed over
-	queueScale    = 1.5         // places, less queueLess, for each request in a bucket, of a queue that is full as
-	queueLess     = 0.5         // often as the bucket has too little, within 0.04
+	priorSamples         = 4.0         // readings that the prior counts for, and all plans together as the prior of one
+	maxSamples           = 128         // latest readings from which the distributions are estimated
+	emRounds             = 10          // rounds of the EM algorithm per second, starting from the last estimate
+	requestWeight        = 1.0 / 64    // weight of one request in the running means of planUsage
+	minSampleAdmission   = 1.0 / 5     // least admission probability whose inverse weights a reading
+	arrivalWindow        = 20 * second // age up to which arrivals of a customer without readings are evidence
+	maxArrivals          = 16          // latest arrivals that are kept of a customer
+	meanChangeInterval   = 20 * second // mean time between changes of a customer's utilization
+	maxLevelLearningTime = 10.0        // seconds of readings after which even a slow bucket's level is known
+	freshRefills         = 10.0        // refill times of a bucket during which it matters that it was full at the start
+	maxReadInFlight      = 64          // most attempts in flight at once that a reading is taken to report
+	minLikelihood        = 1e-6        // of a reading at any utilization: customers are less regular than the formulas
+	minExposure          = 0.05        // expected requests at the whole quota; below it, no arrivals are no evidence
+	minUtilizationWeight = 0.002       // utilizations with a lower probability are skipped
+
+	// The probability that a bucket has too little for a request is approximated, to within 0.04, by that of a full
+	// M/M/1/K queue with queuePlacesPerRequest places for each request that the full bucket allows, less
+	// queuePlacesOffset.
+	queuePlacesPerRequest = 1.5
+	queuePlacesOffset     = 0.5
 )
 
-// usageGrid holds the uses, in multiples of the quota, that the distributions are kept over; priorUsage is what is
-// assumed of a request's customer before any reading.
+// utilizationGrid holds the utilizations, in multiples of the quota, over which the distributions are kept.
+// priorUtilization is the distribution assumed for a request's customer before any reading.
 var (
-	usageGrid  = stats.NewGrid(stats.Weights{0.1, 0.2, 0.35, 0.5, 0.7, 0.85, 1, 1.25, 1.7, 2.4, 3.5, 5})
-	priorUsage = stats.Weights{0.05, 0.10, 0.12, 0.08, 0.08, 0.07, 0.06, 0.08, 0.12, 0.11, 0.08, 0.05}
+	utilizationGrid  = stats.NewGrid(stats.Weights{0.1, 0.2, 0.35, 0.5, 0.7, 0.85, 1, 1.25, 1.7, 2.4, 3.5, 5})
+	priorUtilization = stats.Weights{0.05, 0.10, 0.12, 0.08, 0.08, 0.07, 0.06, 0.08, 0.12, 0.11, 0.08, 0.05}
 )
 
-// usageOf returns what is known of a plan's customers.
-func (g *Gateway) usageOf(plan *Plan) *planUsage {
-	u := g.usage[plan]
-	if u != nil {
-		return u
+// planUsageOf returns the usage of a plan, creating it if needed.
+func (g *Gateway) planUsageOf(plan *Plan) *planUsage {
+	usage := g.planUsages[plan]
+	if usage != nil {
+		return usage
 	}
-	typical := max(1, g.settings.LargestUnits/4)
-	u = &planUsage{units: typical, squares: 1.5 * typical * typical, admitted: 1, group: g.population.AddGroup()}
-	u.use, g.usage[plan] = g.population.Group(u.group), u
-	return u
+	typicalUnits := max(1, g.settings.MaxRequestUnits/4)
+	usage = &planUsage{meanUnits: typicalUnits, meanSquaredUnits: 1.5 * typicalUnits * typicalUnits, meanAdmission: 1,
+		populationGroup: g.population.AddGroup()}
+	usage.utilization, g.planUsages[plan] = g.population.Group(usage.populationGroup), usage
+	return usage
 }
 
-// outAtQuota returns how many attempts a customer has out, on average, that uses its whole quota: by the latency, and
-// no more than half of the limit, as a limit nearer to it would keep customers from using their quotas.
-func (g *Gateway) outAtQuota(c *customer) float64 {
-	half := float64(c.plan.Open) / 2
-	if c.plan.Rate <= 0 { // what such a plan's use is counted in
-		return half
+// inFlightAtQuota returns the mean number of attempts in flight of a customer that uses its whole quota. It is
+// computed from the mean latency and is at most half of the limit on attempts in flight: a higher mean would keep the
+// customer from using its quota. Without a rate it is that half, and the utilization is counted in multiples of it.
+func (g *Gateway) inFlightAtQuota(customer *customerState) float64 {
+	halfLimit := float64(customer.plan.MaxInFlight) / 2
+	if customer.plan.Rate <= 0 {
+		return halfLimit
 	}
-	return min(half, c.plan.Rate/max(c.usage.units, 1e-6)*g.meanLatency)
+	return min(halfLimit, customer.plan.Rate/max(customer.usage.meanUnits, 1e-6)*g.meanLatency)
 }
 
-// requestTime is the time in which a customer that uses its whole quota sends one request, in seconds. It is that
-// of a request of the size that has the variance of the true sizes.
-func (c *customer) requestTime() float64 {
+// requestInterval returns the seconds between two requests of a customer that uses its whole quota. It assumes
+// requests of the one size that has the same variance of the use as the true sizes.
+func (c *customerState) requestInterval() float64 {
 	if c.plan.Rate <= 0 {
-		return max(1e-6, c.period)
+		return max(1e-6, c.meterPeriod)
 	}
-	return max(1e-6, c.usage.squares/max(c.usage.units, 1e-6)/c.plan.Rate)
+	return max(1e-6, c.usage.meanSquaredUnits/max(c.usage.meanUnits, 1e-6)/c.plan.Rate)
 }
 
-// arrived counts a request that came through this gateway. It tells of the customer whether or not it is admitted.
-func (c *customer) arrived(now time.Duration) {
-	if len(c.arrivals) == mostArrivals {
-		c.arrivals = slices.Delete(c.arrivals, 0, mostArrivals/2)
-		c.arrivalsFrom = c.arrivals[0]
+// recordArrival records a request of the customer through this gateway. It is evidence of the customer's utilization
+// whether or not it is admitted.
+func (c *customerState) recordArrival(now time.Duration) {
+	if len(c.recentArrivals) == maxArrivals {
+		c.recentArrivals = slices.Delete(c.recentArrivals, 0, maxArrivals/2)
+		c.arrivalsSince = c.recentArrivals[0]
 	}
-	c.arrivals = append(c.arrivals, now)
+	c.recentArrivals = append(c.recentArrivals, now)
 }
 
-// useOf returns the distribution of the customer's use now. The readings tell of the use until the end of the last
-// period; it may have changed since, and then a request is the likelier to come from a customer the more it asks.
-// This gateway's own share of the arrivals since is evidence on the present.
-func (g *Gateway) useOf(c *customer) stats.Weights {
-	one, age := c.requestTime(), readingAge*c.period
-	use := *c.usage.use
-	from := max(g.startedAt, g.now-arrivalsFor)
-	if c.meteredFor > 0 {
-		age = max(0, (g.now - c.bucketAt).Seconds())
-		fade := math.Pow(shareDecay, age/max(c.period, 1e-3))
-		likelihood := c.readings
-		if c.plan.Rate > 0 {
-			likelihood = usageGrid.Likelihood(fade*c.metered/100/one, fade*c.meteredFor/one)
+// utilizationOf returns the distribution of the customer's utilization now. The readings are evidence until the end of
+// the last metered period. The utilization may have changed since, and then a request comes from a customer with a
+// probability proportional to its new utilization. The arrivals since then at this gateway, with its share of the
+// customer's requests, are evidence of the present.
+func (g *Gateway) utilizationOf(customer *customerState) stats.Weights {
+	interval, age := customer.requestInterval(), readingDelay*customer.meterPeriod
+	utilization := *customer.usage.utilization
+	from := max(g.startedAt, g.now-arrivalWindow)
+	if customer.meteredTime > 0 {
+		age = max(0, (g.now - customer.meteredUntil).Seconds())
+		decay := math.Pow(readingDecay, age/max(customer.meterPeriod, 1e-3))
+		likelihood := customer.readingsLikelihood
+		if customer.plan.Rate > 0 {
+			likelihood = utilizationGrid.Likelihood(decay*customer.meteredUse/100/interval,
+				decay*customer.meteredTime/interval)
 		}
-		use = use.Posterior(&likelihood)
-		from = c.bucketAt
+		utilization = utilization.Posterior(&likelihood)
+		from = customer.meteredUntil
 	}
-	changed := 1 - math.Exp(-(age+c.period/2)/changeEvery.Seconds())
-	anew := c.usage.use.Posterior(&usageGrid.Rates)
-	for i := range use {
-		use[i] += changed * (anew[i] - use[i])
+	changeProbability := 1 - math.Exp(-(age+customer.meterPeriod/2)/meanChangeInterval.Seconds())
+	afterChange := customer.usage.utilization.Posterior(&utilizationGrid.Rates)
+	for i := range utilization {
+		utilization[i] += changeProbability * (afterChange[i] - utilization[i])
 	}
-	if c.plan.Rate > 0 {
-		from = max(from, c.arrivalsFrom)
+	if customer.plan.Rate > 0 {
+		from = max(from, customer.arrivalsSince)
 		count := 0.0
-		for _, at := range c.arrivals {
-			count += float64(b2i(at >= from))
+		for _, at := range customer.recentArrivals {
+			count += float64(boolToInt(at >= from))
 		}
-		exposure := max(0, (g.now-from).Seconds()) / (one * c.fleetShare())
-		if count > 0 || exposure > leastExposure {
-			likelihood := usageGrid.Likelihood(c.usage.admitted*count, exposure)
-			use = use.Posterior(&likelihood)
+		exposure := max(0, (g.now-from).Seconds()) / (interval * customer.fleetMultiple())
+		if count > 0 || exposure > minExposure {
+			likelihood := utilizationGrid.Likelihood(customer.usage.meanAdmission*count, exposure)
+			utilization = utilization.Posterior(&likelihood)
 		}
 	}
-	return use
+	return utilization
 }
 
-// excess returns the probability that a request of a customer of such a use is beyond its quota, by what other
-// gateways send. One of two gateways meets all of a customer's requests, and has its bucket to go by.
-func (g *Gateway) excess(c *customer, use *stats.Weights, units float64) float64 {
-	limit := float64(c.plan.Open)
-	limited := c.plan.Open > 0 && limit < c.gateways
-	out := c.othersShare() / (c.gateways - 1) * g.outAtQuota(c) // of each of the other gateways
-	unseen := 0.0
+// excessProbability returns the probability that a request of a customer of the given utilization is beyond its quota
+// because of what other gateways send. One of two gateways meets all of a customer's requests and relies on its own
+// projection of the bucket instead.
+func (g *Gateway) excessProbability(customer *customerState, utilization *stats.Weights, units float64) float64 {
+	limit := float64(customer.plan.MaxInFlight)
+	limitShared := customer.plan.MaxInFlight > 0 && limit < customer.gateways
+	// inFlightElsewhere is the mean number of attempts in flight per other gateway, at a utilization of 1.
+	inFlightElsewhere := customer.othersShare() / (customer.gateways - 1) * g.inFlightAtQuota(customer)
+	unseenShare := 0.0
 	var bucket stats.TokenBucket
-	if c.plan.Rate > 0 && units > 0 {
-		unseen = 1 - min(1, 2/c.gateways)
-		bucket = g.bucket(c, units)
+	if customer.plan.Rate > 0 && units > 0 {
+		unseenShare = 1 - min(1, 2/customer.gateways)
+		bucket = g.bucketEstimate(customer, units)
 	}
-	beyond := 0.0
-	for i, weight := range use {
-		if weight < leastWeight {
+	excess := 0.0
+	for i, weight := range utilization {
+		if weight < minUtilizationWeight {
 			continue
 		}
-		rate, inside := usageGrid.Rates[i], 1.0
-		if unseen > 0 {
-			inside -= unseen * bucket.ShortageProbability(rate, usageGrid.LogRate(i))
+		rate, within := utilizationGrid.Rates[i], 1.0
+		if unseenShare > 0 {
+			within -= unseenShare * bucket.ShortageProbability(rate, utilizationGrid.LogRate(i))
 		}
-		if limited {
-			inside *= stats.BinomialBelow(c.plan.Open, c.gateways-1, min(limit/c.gateways, rate*out))
+		if limitShared {
+			within *= stats.BinomialBelow(customer.plan.MaxInFlight, customer.gateways-1,
+				min(limit/customer.gateways, rate*inFlightElsewhere))
 		}
-		beyond += weight * (1 - inside)
+		excess += weight * (1 - within)
 	}
-	return min(1, max(0, beyond))
+	return min(1, max(0, excess))
 }
 
-// bucket is what is known of the customer's token bucket, before a request of so many units.
-func (g *Gateway) bucket(c *customer, units float64) stats.TokenBucket {
-	one, rate := c.requestTime(), c.plan.Rate
+// bucketEstimate returns what is known of the customer's token bucket before a request of so many units.
+func (g *Gateway) bucketEstimate(customer *customerState, units float64) stats.TokenBucket {
+	interval, rate := customer.requestInterval(), customer.plan.Rate
 	filled := (g.now - g.startedAt).Seconds()
-	b := stats.TokenBucket{QueueSize: queueScale*max(1, c.plan.Burst/units) - queueLess, RefillSinceFull: filled / one,
-		FullHeadroom: (c.plan.Burst - units) / rate / one, WasFull: !g.metered && filled < drainsIn*c.plan.Burst/rate}
-	if c.meteredFor == 0 {
-		return b
+	estimate := stats.TokenBucket{QueueSize: queuePlacesPerRequest*max(1, customer.plan.Burst/units) - queuePlacesOffset,
+		RefillSinceFull: filled / interval, FullHeadroom: (customer.plan.Burst - units) / rate / interval,
+		WasFull: !g.meteredBeforeStart && filled < freshRefills*customer.plan.Burst/rate}
+	if customer.meteredTime == 0 {
+		return estimate
 	}
-	b.ReadingWeight = 1 - math.Exp(-(g.now-c.followedFrom).Seconds()/min(longestFollow, c.plan.Burst/rate))
-	b.Headroom = (c.bucket/100 - units/rate) / one
-	for _, d := range c.recentSends {
-		b.Headroom -= d.percentSeconds / 100 / one
+	estimate.ReadingWeight = 1 - math.Exp(-(g.now-customer.meteredSince).Seconds()/
+		min(maxLevelLearningTime, customer.plan.Burst/rate))
+	estimate.Headroom = (customer.meteredLevel/100 - units/rate) / interval
+	for _, sent := range customer.recentSends {
+		estimate.Headroom -= sent.percentSeconds / 100 / interval
 	}
-	b.RefillSinceReading = max(0, (g.now-c.bucketAt).Seconds()) / one
-	b.OthersShare = c.othersShare()
-	return b
+	estimate.RefillSinceReading = max(0, (g.now-customer.meteredUntil).Seconds()) / interval
+	estimate.OthersShare = customer.othersShare()
+	return estimate
 }
 
-// othersShare is the share of the customer's requests that other gateways send.
-func (c *customer) othersShare() float64 { return 1 - 1/c.fleetShare() }
+// othersShare returns the share of the customer's use that comes through other gateways.
+func (c *customerState) othersShare() float64 { return 1 - 1/c.fleetMultiple() }
 
-// readingLikelihood returns how likely a reading is at each use: of a plan with a rate, as many requests as a Poisson
-// process sends in a period; of one without, as the most that its customer had out in the period at once.
-func (g *Gateway) readingLikelihood(c *customer, use float64) stats.Weights {
-	if c.plan.Rate > 0 {
-		exposure := c.period / c.requestTime()
-		return usageGrid.Likelihood(use*exposure, exposure)
+// readingLikelihood returns the likelihood of a reading, in multiples of the quota, at each utilization. The reading
+// of a plan with a rate counts the requests of a Poisson process in a period; of one without, it is the largest number
+// of attempts of the customer in flight at once in the period.
+func (g *Gateway) readingLikelihood(customer *customerState, utilization float64) stats.Weights {
+	if customer.plan.Rate > 0 {
+		exposure := customer.meterPeriod / customer.requestInterval()
+		return utilizationGrid.Likelihood(utilization*exposure, exposure)
 	}
-	most := int(min(mostRead, math.Round(use*float64(c.plan.Open))))
-	services := c.period / g.meanLatency
+	maxInFlight := int(min(maxReadInFlight, math.Round(utilization*float64(customer.plan.MaxInFlight))))
+	services := customer.meterPeriod / g.meanLatency
 	var likelihood stats.Weights
-	for i, rate := range usageGrid.Rates {
-		out := rate * g.outAtQuota(c)
-		exactly := stats.MaxOccupancyCDF(most, out, services) - stats.MaxOccupancyCDF(most-1, out, services)
-		likelihood[i] = max(leastLikely, exactly)
+	for i, rate := range utilizationGrid.Rates {
+		meanInFlight := rate * g.inFlightAtQuota(customer)
+		probability := stats.MaxOccupancyCDF(maxInFlight, meanInFlight, services) -
+			stats.MaxOccupancyCDF(maxInFlight-1, meanInFlight, services)
+		likelihood[i] = max(minLikelihood, probability)
 	}
 	return likelihood
 }
 
-// learnUsage takes in a reading of a customer: the use in one period, in multiples of the quota. Requests were
-// admitted with a probability that went by the use, so each reading counts for as many requests as were rejected
-// beside it.
-func (g *Gateway) learnUsage(c *customer, use float64) {
-	if c.period <= 0 {
+// learnUsage adds a reading of a customer, its use in one period in multiples of the quota, to the population. The
+// probability with which requests were admitted depended on the utilization, so a reading is weighted by its inverse:
+// it also stands for the requests that were rejected.
+func (g *Gateway) learnUsage(customer *customerState, utilization float64) {
+	if customer.meterPeriod <= 0 {
 		return
 	}
-	if g.now-g.startedAt < g.settings.MeterPeriod { // a period that has ended by now began before the start
-		g.metered = true
+	if g.now-g.startedAt < g.settings.MeterPeriod { // the reading is of a period that began before the start
+		g.meteredBeforeStart = true
 	}
-	g.population.Add(stats.Sample{Likelihood: g.readingLikelihood(c, use), Group: c.usage.group,
-		Weight: 1 / max(leastSampled, c.admitted)})
+	g.population.Add(stats.Sample{Likelihood: g.readingLikelihood(customer, utilization),
+		Group: customer.usage.populationGroup, Weight: 1 / max(minSampleAdmission, customer.admissionProbability)})
 }
--- a/internal/scalelab/fleet.go
+++ b/internal/scalelab/fleet.go
@@ -100,7 +100,7 @@
 func (f *Fleet) SubmitRequest(number int, request Request) {
 	f.lastID++
 	request.ID = f.lastID
-	request.Patience = requestDeadline
+	request.Timeout = requestDeadline
 	f.Gateways[number].HandleRequest(f.Clock.Now(), request)
 }
 
--- a/internal/scalelab/hollow.go
+++ b/internal/scalelab/hollow.go
@@ -63,7 +63,7 @@
 // NewHollowGateway creates a hollow gateway with an empty list of backends.
 func NewHollowGateway(number int, settings Settings, seed uint64, now time.Duration,
 	host Host) (*HollowGateway, error) {
-	settings.Me = number
+	settings.Index = number
 	module, err := gateway.New(settings, seed, now)
 	if err != nil {
 		return nil, fmt.Errorf("hollow gateway %d: %w", number, err)
@@ -92,7 +92,7 @@
 func (h *HollowGateway) HandleAnswer(now time.Duration, attempt Attempt, duration time.Duration, usePercent float64) {
 	delete(h.inFlight, attempt.Request.ID)
 	h.handle(now, Outcome{Request: attempt.Request.ID, Backend: attempt.Backend, Attempt: attempt.Number,
-		Result: gateway.Answered, Took: duration, Final: true, HasUse: true, Use: usePercent})
+		Result: gateway.Answered, Duration: duration, Final: true, HasUsage: true, UsagePercent: usePercent})
 }
 
 // HandleConnectFailure ends an attempt whose connection could not be established.
--- a/internal/scalelab/quota.go
+++ b/internal/scalelab/quota.go
@@ -77,7 +77,7 @@
 	}
 	heapBefore, processorBefore := liveHeapBytes(), processorTime()
 	settings := newSettings(size)
-	plan := Plan{Name: quotaPlan, Rate: rate, Burst: burstSeconds * rate, Price: 1, OverCost: 1}
+	plan := Plan{Name: quotaPlan, Rate: rate, Burst: burstSeconds * rate, ValueFactor: 1, ExcessCostShare: 1}
 	if hasCeiling {
 		plan.CeilingRate, plan.CeilingBurst, plan.CeilingSlack =
 			ceilingFactor*rate, ceilingFactor*plan.Burst, maxRequestUnits
@@ -138,7 +138,7 @@
 	offset := int(float64(s.spread) * math.Pow(random.Float64(), 2.5))
 	gateway := (customer.firstGateway + offset) % len(s.fleet.Gateways)
 	s.fleet.SubmitRequest(gateway, Request{Customer: CustomerID(number), Class: className(0), Plan: quotaPlan,
-		Units: units, FirstGateway: customer.firstGateway, Spread: s.spread})
+		Units: units, FirstGateway: customer.firstGateway, GatewayCount: s.spread})
 }
 
 // recordSend checks the first attempt of a request against the exact buckets of its customer.
--- a/internal/scalelab/single.go
+++ b/internal/scalelab/single.go
@@ -75,7 +75,7 @@
 func (s *singleHost) submitRequest(customer, class int) {
 	s.lastID++
 	s.gateway.HandleRequest(s.now, Request{ID: s.lastID, Customer: CustomerID(customer), Class: className(class),
-		Plan: amplePlan, Units: 1, Patience: requestDeadline, FirstGateway: 0, Spread: s.spread})
+		Plan: amplePlan, Units: 1, Timeout: requestDeadline, FirstGateway: 0, GatewayCount: s.spread})
 }
 
 // advanceTo answers the attempts that are due until end and sets the clock to end.
--- a/internal/scalelab/sums.go
+++ b/internal/scalelab/sums.go
@@ -120,7 +120,7 @@
 	random := s.fleet.Random
 	s.fleet.SubmitRequest(random.IntN(len(s.fleet.Gateways)), Request{
 		Customer: CustomerID(random.IntN(slopeBase.Customers)), Class: className(0),
-		Plan: amplePlan, Units: 1, Spread: len(s.fleet.Gateways)})
+		Plan: amplePlan, Units: 1, GatewayCount: len(s.fleet.Gateways)})
 }
 
 // summarizeSteady computes the load and the connections of the steady phase.
@@ -165,12 +165,12 @@
 	for id := 1; id <= result.ReplacedBackends; id++ {
 		sendTimes, windowStart := s.coldSendTimes[id], 0
 		for i := range sendTimes {
-			for sendTimes[i]-sendTimes[windowStart] > settings.FallFor {
+			for sendTimes[i]-sendTimes[windowStart] > settings.OverloadTime {
 				windowStart++
 			}
 			age := (sendTimes[windowStart] - s.replacedAt).Seconds()
-			warmth := settings.ColdFrom + (1-settings.ColdFrom)*age/settings.WarmWithin.Seconds()
-			overloadLimit := settings.FallMultiple * warmth * result.BackendCapacity * settings.FallFor.Seconds()
+			warmth := settings.ColdCapacity + (1-settings.ColdCapacity)*age/settings.WarmUpTime.Seconds()
+			overloadLimit := settings.OverloadMultiple * warmth * result.BackendCapacity * settings.OverloadTime.Seconds()
 			result.MaxColdLoad = max(result.MaxColdLoad, float64(i-windowStart+1)/overloadLimit)
 		}
 	}
--- a/internal/scalelab/wire.go
+++ b/internal/scalelab/wire.go
@@ -12,7 +12,7 @@
 func toEndpoint(backend BackendInfo, address string) frontdoor.Endpoint {
 	health := [...]string{"Ready", "Terminating", "Gone"}[backend.State]
 	return frontdoor.Endpoint{Host: fmt.Sprintf("s-%08x", uint32(backend.ID)), Address: address, Zone: backend.Zone,
-		Kind: backend.Kind, Cell: backend.Cell, State: health, Weight: backend.Weight,
+		Kind: backend.MachineType, Cell: backend.Cell, State: health, Weight: backend.Weight,
 		StartedMS: backend.Started.Milliseconds()}
 }
 
@@ -46,13 +46,13 @@
 // encodeSettings returns the settings section of a configuration file, which holds the classes and plans.
 func encodeSettings(settings Settings) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, `{"balancers":%d,"me":%d,"lanes":[`, settings.Gateways, settings.Me)
+	fmt.Fprintf(&text, `{"balancers":%d,"me":%d,"lanes":[`, settings.Gateways, settings.Index)
 	for i, class := range settings.Classes {
 		if i > 0 {
 			text.WriteByte(',')
 		}
 		fmt.Fprintf(&text, `{"name":%q,"effect":"retryable","goal_time_us":%d,"deadline_us":%d,"gain":%g}`, class.Name,
-			class.Aim.Microseconds(), class.Deadline.Microseconds(), class.Worth)
+			class.TargetLatency.Microseconds(), class.Deadline.Microseconds(), class.Value)
 	}
 	text.WriteString(`],"tariffs":[`)
 	for i, plan := range settings.Plans {
@@ -60,10 +60,10 @@
 			text.WriteByte(',')
 		}
 		fmt.Fprintf(&text, `{"name":%q,"units_per_s":%g,"burst":%g,"value_factor":%g}`, plan.Name, plan.Rate,
-			plan.Burst, plan.Price)
+			plan.Burst, plan.ValueFactor)
 	}
 	fmt.Fprintf(&text, `],"family_info":{"meter_period_us":%d,"largest":%g},`, settings.MeterPeriod.Microseconds(),
-		settings.LargestUnits)
+		settings.MaxRequestUnits)
 	text.WriteString(`"policy_limits":{"cancel":true,"max_attempts":3,"conn_idle_us":15000000,"connect_timeout_us":250000}}`)
 	return text.String()
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -68,12 +68,12 @@
 }
 
 // effects maps the names of effects in the settings to the constants of package gateway.
-var effects = map[string]gateway.Effect{"": gateway.Safe, "retryable": gateway.Safe, "dedup": gateway.Keyed,
+var effects = map[string]gateway.Effect{"": gateway.Safe, "retryable": gateway.Safe, "dedup": gateway.Deduplicated,
 	"fragile": gateway.Unsafe}
 
 // groups maps the names of groups in the settings to the constants of package gateway.
-var groups = map[string]gateway.Group{"": gateway.GroupAll, "all": gateway.GroupAll, "zone": gateway.GroupZone,
-	"cell": gateway.GroupCell}
+var groups = map[string]gateway.DedupScope{"": gateway.ScopeAll, "all": gateway.ScopeAll, "zone": gateway.ScopeZone,
+	"cell": gateway.ScopeCell}
 
 // ConnectionSettings holds the timing of connections to backends and to discovery. Only a gateway that serves real
 // connections uses it.
@@ -93,18 +93,18 @@
 	if err := json.Unmarshal(text, &decoded); err != nil {
 		return gateway.Settings{}, ConnectionSettings{}, fmt.Errorf("settings: %w", err)
 	}
-	settings := gateway.Settings{Gateways: decoded.Gateways, Me: decoded.Index, Zone: decoded.Zone,
-		MeterPeriod: fromMicroseconds(decoded.Metering.MeterPeriod), LargestUnits: decoded.Metering.LargestUnits,
-		MaxAttempts: decoded.Limits.MaxAttempts, ParallelTries: decoded.Limits.ParallelAttempts,
+	settings := gateway.Settings{Gateways: decoded.Gateways, Index: decoded.Index, Zone: decoded.Zone,
+		MeterPeriod: fromMicroseconds(decoded.Metering.MeterPeriod), MaxRequestUnits: decoded.Metering.LargestUnits,
+		MaxAttempts: decoded.Limits.MaxAttempts, ParallelAttempts: decoded.Limits.ParallelAttempts,
 		CanCancel: decoded.Limits.CanCancel, CanProbe: decoded.Limits.CanProbe,
-		AskForList: decoded.Discovery == "on_request", LoadColumns: decoded.LoadReports.LoadColumns,
-		LoadInAnswers: decoded.LoadReports.Source == "answers",
-		AnswerGrace:   fromMicroseconds(decoded.Obligations.AnswerGrace),
-		DrainGrace:    fromMicroseconds(decoded.Obligations.DrainGrace),
-		ColdFrom:      decoded.Obligations.MinColdShare,
-		WarmWithin:    fromMicroseconds(decoded.Obligations.WarmupTime),
-		FallMultiple:  decoded.Obligations.OverloadMultiple,
-		FallFor:       fromMicroseconds(decoded.Obligations.OverloadDuration)}
+		SubscribeToList: decoded.Discovery == "on_request", LoadColumns: decoded.LoadReports.LoadColumns,
+		LoadInAnswers:    decoded.LoadReports.Source == "answers",
+		AnswerGrace:      fromMicroseconds(decoded.Obligations.AnswerGrace),
+		DrainGrace:       fromMicroseconds(decoded.Obligations.DrainGrace),
+		ColdCapacity:     decoded.Obligations.MinColdShare,
+		WarmUpTime:       fromMicroseconds(decoded.Obligations.WarmupTime),
+		OverloadMultiple: decoded.Obligations.OverloadMultiple,
+		OverloadTime:     fromMicroseconds(decoded.Obligations.OverloadDuration)}
 	if decoded.Limits.HonorsRetryAfter {
 		settings.MaxRetryAfter = fromMicroseconds(decoded.Limits.MaxRetryAfter)
 	}
@@ -115,14 +115,14 @@
 			return gateway.Settings{}, ConnectionSettings{},
 				fmt.Errorf("class %q: unknown effect %q or unknown group %q", class.Name, class.Effect, class.Group)
 		}
-		settings.Classes = append(settings.Classes, gateway.Class{Name: class.Name, Effect: effect, Group: group,
-			KeyWindow: fromMicroseconds(class.KeyWindow), Aim: fromMicroseconds(class.TargetLatency),
-			Deadline: fromMicroseconds(class.Deadline), Worth: class.Value, LateWorth: class.LateValueShare,
-			Stream: class.Stream})
+		settings.Classes = append(settings.Classes, gateway.Class{Name: class.Name, Effect: effect, Scope: group,
+			DedupWindow: fromMicroseconds(class.KeyWindow), TargetLatency: fromMicroseconds(class.TargetLatency),
+			Deadline: fromMicroseconds(class.Deadline), Value: class.Value, LateValueShare: class.LateValueShare,
+			Streaming: class.Stream})
 	}
 	for _, plan := range decoded.Plans {
 		settings.Plans = append(settings.Plans, gateway.Plan{Name: plan.Name, Rate: plan.Rate, Burst: plan.Burst,
-			Open: plan.MaxInFlight, Price: plan.ValueFactor, OverWorth: plan.ExcessValue, OverCost: plan.ExcessCost,
+			MaxInFlight: plan.MaxInFlight, ValueFactor: plan.ValueFactor, ExcessValueShare: plan.ExcessValue, ExcessCostShare: plan.ExcessCost,
 			CeilingRate: plan.CeilingRate, CeilingBurst: plan.CeilingBurst, CeilingSlack: plan.CeilingSlack})
 	}
 	return settings, ConnectionSettings{IdleTimeout: fromMicroseconds(decoded.Limits.IdleTimeout),
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -78,8 +78,8 @@
 
 // resultsByCode maps the result codes of the protocol to the constants of package gateway.
 var resultsByCode = map[string]gateway.Result{
-	"delivered": gateway.Answered, "app_error": gateway.AnsweredErr, "shed": gateway.Rejected,
-	"expired": gateway.TimedOut, "dial_failed": gateway.NoConnection, "dropped": gateway.Broken,
+	"delivered": gateway.Answered, "app_error": gateway.AnsweredError, "shed": gateway.Rejected,
+	"expired": gateway.TimedOut, "dial_failed": gateway.NoConnection, "dropped": gateway.ConnectionBroken,
 	"revoked": gateway.Cancelled, "unused": gateway.NotSent,
 }
 
@@ -174,7 +174,7 @@
 		return nil, errors.New("sampled message without a backend")
 	}
 	return gateway.ProbeResult{Backend: gateway.BackendID(*raw.Backend), Result: parseResult(raw.Result),
-		Took: fromMicroseconds(raw.Duration), Load: raw.Load}, nil
+		Duration: fromMicroseconds(raw.Duration), Load: raw.Load}, nil
 }
 
 // parseResult returns the result for a code of the protocol, or gateway.Unknown for an unknown code.
@@ -204,8 +204,8 @@
 func decodeRequest(raw rawMessage) (gateway.Event, error) {
 	id, err := parseRequestID(raw)
 	return gateway.Request{ID: id, Customer: gateway.CustomerID(raw.Customer), Class: raw.Class, Plan: raw.Plan,
-		Units: raw.Units, Patience: fromMicroseconds(raw.ClientTimeout), FirstGateway: int(raw.FirstGateway),
-		Spread: int(raw.Spread)}, err
+		Units: raw.Units, Timeout: fromMicroseconds(raw.ClientTimeout), FirstGateway: int(raw.FirstGateway),
+		GatewayCount: int(raw.Spread)}, err
 }
 
 // decodeOutcome decodes the outcome of an attempt.
@@ -218,8 +218,8 @@
 		return nil, err
 	}
 	return gateway.Outcome{Request: id, Backend: gateway.BackendID(*raw.Backend), Attempt: raw.Attempt,
-		Result: parseResult(raw.Result), Took: fromMicroseconds(raw.Duration), Final: raw.Final,
-		HasUse: raw.UsagePlusOne > 0, Use: float64(raw.UsagePlusOne - 1), Units: raw.SettledUnits, Load: raw.Load}, nil
+		Result: parseResult(raw.Result), Duration: fromMicroseconds(raw.Duration), Final: raw.Final,
+		HasUsage: raw.UsagePlusOne > 0, UsagePercent: float64(raw.UsagePlusOne - 1), SettledUnits: raw.SettledUnits, Load: raw.Load}, nil
 }
 
 // decodeList decodes a list of backends, or a list of changes.
@@ -235,7 +235,7 @@
 			return nil, fmt.Errorf("list entry without a backend or with the unknown state %q", entry.State)
 		}
 		list.Backends = append(list.Backends, gateway.BackendInfo{ID: gateway.BackendID(*entry.Backend), State: state,
-			Zone: entry.Zone, Kind: entry.Kind, Cell: entry.Cell, Started: fromMicroseconds(entry.Started),
+			Zone: entry.Zone, MachineType: entry.Kind, Cell: entry.Cell, Started: fromMicroseconds(entry.Started),
 			Weight: entry.Weight})
 	}
 	return list, nil
