--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -161,9 +161,12 @@
 func (g *Gateway) bucketEstimate(customer *customerState, units float64) stats.TokenBucket {
 	interval, rate := customer.requestInterval(), customer.plan.Rate
 	filled := (g.now - g.startedAt).Seconds()
-	estimate := stats.TokenBucket{QueueSize: queuePlacesPerRequest*max(1, customer.plan.Burst/units) - queuePlacesOffset,
-		RefillSinceFull: filled / interval, FullHeadroom: (customer.plan.Burst - units) / rate / interval,
-		WasFull: !g.meteredBeforeStart && filled < freshRefills*customer.plan.Burst/rate}
+	estimate := stats.TokenBucket{
+		QueueSize:       queuePlacesPerRequest*max(1, customer.plan.Burst/units) - queuePlacesOffset,
+		RefillSinceFull: filled / interval,
+		FullHeadroom:    (customer.plan.Burst - units) / rate / interval,
+		WasFull:         !g.meteredBeforeStart && filled < freshRefills*customer.plan.Burst/rate,
+	}
 	if customer.meteredTime == 0 {
 		return estimate
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -122,8 +122,9 @@
 	}
 	for _, plan := range decoded.Plans {
 		settings.Plans = append(settings.Plans, gateway.Plan{Name: plan.Name, Rate: plan.Rate, Burst: plan.Burst,
-			MaxInFlight: plan.MaxInFlight, ValueFactor: plan.ValueFactor, ExcessValueShare: plan.ExcessValue, ExcessCostShare: plan.ExcessCost,
-			CeilingRate: plan.CeilingRate, CeilingBurst: plan.CeilingBurst, CeilingSlack: plan.CeilingSlack})
+			MaxInFlight: plan.MaxInFlight, ValueFactor: plan.ValueFactor, ExcessValueShare: plan.ExcessValue,
+			ExcessCostShare: plan.ExcessCost,
+			CeilingRate:     plan.CeilingRate, CeilingBurst: plan.CeilingBurst, CeilingSlack: plan.CeilingSlack})
 	}
 	return settings, ConnectionSettings{IdleTimeout: fromMicroseconds(decoded.Limits.IdleTimeout),
 		ConnectTimeout: fromMicroseconds(decoded.Limits.ConnectTimeout),
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -219,7 +219,8 @@
 	}
 	return gateway.Outcome{Request: id, Backend: gateway.BackendID(*raw.Backend), Attempt: raw.Attempt,
 		Result: parseResult(raw.Result), Duration: fromMicroseconds(raw.Duration), Final: raw.Final,
-		HasUsage: raw.UsagePlusOne > 0, UsagePercent: float64(raw.UsagePlusOne - 1), SettledUnits: raw.SettledUnits, Load: raw.Load}, nil
+		HasUsage: raw.UsagePlusOne > 0, UsagePercent: float64(raw.UsagePlusOne - 1), SettledUnits: raw.SettledUnits,
+		Load: raw.Load}, nil
 }
 
 // decodeList decodes a list of backends, or a list of changes.
