--- a/internal/frontdoor/bench_test.go
+++ b/internal/frontdoor/bench_test.go
@@ -13,14 +13,14 @@
 func BenchmarkRequest(b *testing.B) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }))
 	b.Cleanup(backend.Close)
-	d := startInstance(b, script(sendTo(1)), strings.TrimPrefix(backend.URL, "http://"))
+	instance := startGateway(b, newScriptedHandler(sendAllTo(1)), strings.TrimPrefix(backend.URL, "http://"))
 	client := &http.Transport{}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		for len(d.loop.gateway.(*scripted).received) > 0 {
-			<-d.loop.gateway.(*scripted).received
+		for len(instance.loop.gateway.(*scriptedHandler).received) > 0 {
+			<-instance.loop.gateway.(*scriptedHandler).received
 		}
-		res, err := client.RoundTrip(d.newRequest(b, "look", func(r *http.Request) { r.Header.Set("Request-Id", fmt.Sprintf("%016x", n)) }))
+		res, err := client.RoundTrip(instance.newRequest(b, "look", func(r *http.Request) { r.Header.Set("Request-Id", fmt.Sprintf("%016x", n)) }))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/frontdoor/clients_test.go
+++ b/internal/frontdoor/clients_test.go
@@ -14,18 +14,18 @@
 )
 
 // sendTo sends every request to a backend and does nothing else.
-func sendTo(id gateway.BackendID) func(gateway.Event) []gateway.Action {
-	return func(ev gateway.Event) []gateway.Action {
-		if r, ok := ev.(gateway.Request); ok {
-			return []gateway.Action{gateway.Send{Request: r.ID, Backend: id}}
+func sendAllTo(id gateway.BackendID) func(gateway.Event) []gateway.Action {
+	return func(event gateway.Event) []gateway.Action {
+		if request, ok := event.(gateway.Request); ok {
+			return []gateway.Action{gateway.Send{Request: request.ID, Backend: id}}
 		}
 		return nil
 	}
 }
 
-func TestARequestGoesOnAndComesBackUnchanged(t *testing.T) {
+func TestRequestAndResponseAreForwardedUnchanged(t *testing.T) {
 	body := strings.Repeat("b", 10000)
-	d := startInstance(t, nil, serve(t, func(w http.ResponseWriter, r *http.Request) {
+	instance := startGateway(t, nil, startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		sent, _ := io.ReadAll(r.Body)
 		timeout, err := strconv.ParseFloat(r.Header.Get("Request-Timeout"), 64)
 		if r.RequestURI != "/pay/a%2Fb//c;d?x=1&y=%20&&" || r.Method != http.MethodPost || string(sent) != "amount=3" ||
@@ -36,21 +36,21 @@
 		}
 		io.WriteString(w, body)
 	}))
-	req := d.newRequest(t, "pay", func(r *http.Request) {
+	req := instance.newRequest(t, "pay", func(r *http.Request) {
 		r.URL.Opaque = "/pay/a%2Fb//c;d?x=1&y=%20&&"
 		r.Host = "origin.svc"
 	})
-	if res, got := do(t, req); res.StatusCode != 200 || got != body {
+	if res, got := doRequest(t, req); res.StatusCode != 200 || got != body {
 		t.Errorf("%s, %d bytes", res.Status, len(got))
 	}
 }
 
 // What cannot be read is a failure at once: the gateway and the backends are not notified.
-func TestBadRequests(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
 	}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		class  string
 		change func(*http.Request)
 		status int
@@ -86,126 +86,126 @@
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBody+1))), -1
 		}, 400},
 	} {
-		g := script(sendTo(1))
-		d := startInstance(t, g, "127.0.0.1:1")
-		next[gateway.BackendList](t, g)
-		if res, _ := do(t, d.newRequest(t, c.class, c.change)); res.StatusCode != c.status {
-			t.Errorf("%s: %s, want %d", name, res.Status, c.status)
+		handler := newScriptedHandler(sendAllTo(1))
+		instance := startGateway(t, handler, "127.0.0.1:1")
+		nextEvent[gateway.BackendList](t, handler)
+		if res, _ := doRequest(t, instance.newRequest(t, test.class, test.change)); res.StatusCode != test.status {
+			t.Errorf("%s: %s, want %d", name, res.Status, test.status)
 		}
-		if len(g.received) > 0 {
-			t.Errorf("%s: the gateway received %+v", name, <-g.received)
+		if len(handler.received) > 0 {
+			t.Errorf("%s: the gateway received %+v", name, <-handler.received)
 		}
-		d.stop()
+		instance.stop()
 	}
 }
 
-func TestRefusalsSayWhenToComeBack(t *testing.T) {
-	d := startInstance(t, script(func(ev gateway.Event) []gateway.Action {
-		if r, ok := ev.(gateway.Request); ok {
-			return []gateway.Action{gateway.Reject{Request: r.ID, RetryAfter: 250 * time.Millisecond}, gateway.Fail{Request: r.ID}}
+func TestRejectionHasRetryAfter(t *testing.T) {
+	instance := startGateway(t, newScriptedHandler(func(event gateway.Event) []gateway.Action {
+		if request, ok := event.(gateway.Request); ok {
+			return []gateway.Action{gateway.Reject{Request: request.ID, RetryAfter: 250 * time.Millisecond}, gateway.Fail{Request: request.ID}}
 		}
 		return nil
 	}))
-	res, _ := do(t, d.newRequest(t, "look", nil))
+	res, _ := doRequest(t, instance.newRequest(t, "look", nil))
 	if res.StatusCode != 503 || res.Header.Get("Retry-After") != "0.250" {
 		t.Errorf("%s, Retry-After %q", res.Status, res.Header.Get("Retry-After"))
 	}
 }
 
 // Whatever the gateway does or does not do, a request has an answer before its client's time is up.
-func TestLastMoment(t *testing.T) {
-	g := script(nil)
-	d := startInstance(t, g)
-	res, _ := do(t, d.newRequest(t, "look", func(r *http.Request) { r.Header.Set("Request-Timeout", "0.5") }))
+func TestRequestWithoutResponseGets504BeforeTimeout(t *testing.T) {
+	handler := newScriptedHandler(nil)
+	instance := startGateway(t, handler)
+	res, _ := doRequest(t, instance.newRequest(t, "look", func(r *http.Request) { r.Header.Set("Request-Timeout", "0.5") }))
 	if res.StatusCode != http.StatusGatewayTimeout {
 		t.Errorf("%s, want the last moment's answer", res.Status)
 	}
-	if req := next[gateway.Request](t, g); req.Patience <= 0 || req.Patience > 500*time.Millisecond-gatewayMargin {
+	if req := nextEvent[gateway.Request](t, handler); req.Patience <= 0 || req.Patience > 500*time.Millisecond-gatewayMargin {
 		t.Errorf("the gateway was given %v", req.Patience)
 	}
-	next[gateway.ClientGone](t, g)
+	nextEvent[gateway.ClientGone](t, handler)
 }
 
 // A client that waits for a short time only is not left without any of it, and is still answered before its end.
-func TestMarginsOfShortDeadlines(t *testing.T) {
-	for _, c := range []struct{ timeout, forGateway, lastMoment time.Duration }{
+func TestMarginsOfShortTimeouts(t *testing.T) {
+	for _, test := range []struct{ timeout, forGateway, forResponse time.Duration }{
 		{2 * time.Second, gatewayMargin, responseMargin},
 		{80 * time.Millisecond, 10 * time.Millisecond, 5 * time.Millisecond},
 		{16 * time.Millisecond, 2 * time.Millisecond, time.Millisecond},
 	} {
-		if g, l := margins(c.timeout); g != c.forGateway || l != c.lastMoment {
-			t.Errorf("of %v the margins are %v and %v, want %v and %v", c.timeout, g, l, c.forGateway, c.lastMoment)
+		if forGateway, forResponse := margins(test.timeout); forGateway != test.forGateway || forResponse != test.forResponse {
+			t.Errorf("of %v the margins are %v and %v, want %v and %v", test.timeout, forGateway, forResponse, test.forGateway, test.forResponse)
 		}
 	}
 }
 
 // A client that closes its connection is gone: the gateway is notified, and the attempt it calls off is closed.
-func TestClientThatDisconnects(t *testing.T) {
+func TestDisconnectionCancelsAttempt(t *testing.T) {
 	read, closed := make(chan bool, 1), make(chan bool, 1)
-	addr := serve(t, func(_ http.ResponseWriter, r *http.Request) {
+	addr := startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		read <- true
 		<-r.Context().Done()
 		closed <- true
 	})
-	g := script(func(ev gateway.Event) []gateway.Action {
-		switch ev := ev.(type) {
+	handler := newScriptedHandler(func(event gateway.Event) []gateway.Action {
+		switch event := event.(type) {
 		case gateway.Request:
-			return []gateway.Action{gateway.Send{Request: ev.ID, Backend: 1}}
+			return []gateway.Action{gateway.Send{Request: event.ID, Backend: 1}}
 		case gateway.ClientGone:
-			return []gateway.Action{gateway.Cancel{Request: ev.Request, Attempt: 0}, gateway.Send{Request: ev.Request, Backend: 1}}
+			return []gateway.Action{gateway.Cancel{Request: event.Request, Attempt: 0}, gateway.Send{Request: event.Request, Backend: 1}}
 		}
 		return nil
 	})
-	d := startInstance(t, g, addr)
-	conn, err := net.Dial("tcp", d.addr)
+	instance := startGateway(t, handler, addr)
+	conn, err := net.Dial("tcp", instance.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := d.newRequest(t, "look", nil).Write(conn); err != nil {
+	if err := instance.newRequest(t, "look", nil).Write(conn); err != nil {
 		t.Fatal(err)
 	}
-	await(t, read, "the attempt")
+	awaitSignal(t, read, "the attempt")
 	conn.Close()
-	next[gateway.ClientGone](t, g)
-	if out := next[gateway.Outcome](t, g); out.Attempt != 1 || out.Result != gateway.NotSent || !out.Final {
-		t.Errorf("a send after the end: %+v", out)
+	nextEvent[gateway.ClientGone](t, handler)
+	if outcome := nextEvent[gateway.Outcome](t, handler); outcome.Attempt != 1 || outcome.Result != gateway.NotSent || !outcome.Final {
+		t.Errorf("a send after the end: %+v", outcome)
 	}
-	if out := next[gateway.Outcome](t, g); out.Attempt != 0 || out.Result != gateway.Cancelled || !out.Final {
-		t.Errorf("the attempt ended as %+v", out)
+	if outcome := nextEvent[gateway.Outcome](t, handler); outcome.Attempt != 0 || outcome.Result != gateway.Cancelled || !outcome.Final {
+		t.Errorf("the attempt ended as %+v", outcome)
 	}
-	await(t, closed, "the backend's connection to be closed")
+	awaitSignal(t, closed, "the backend's connection to be closed")
 }
 
 // A client that ends only its sending counts as gone too, but it may still read: what it reads must not look
 // like a served answer.
-func TestClientThatEndsItsSending(t *testing.T) {
-	g := script(nil)
-	d := startInstance(t, g)
-	conn, err := net.Dial("tcp", d.addr)
+func TestHalfClosedClientGetsNoSuccessResponse(t *testing.T) {
+	handler := newScriptedHandler(nil)
+	instance := startGateway(t, handler)
+	conn, err := net.Dial("tcp", instance.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if err := d.newRequest(t, "look", nil).Write(conn); err != nil {
+	if err := instance.newRequest(t, "look", nil).Write(conn); err != nil {
 		t.Fatal(err)
 	}
-	next[gateway.Request](t, g)
+	nextEvent[gateway.Request](t, handler)
 	if err := conn.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	next[gateway.ClientGone](t, g)
+	nextEvent[gateway.ClientGone](t, handler)
 	if res, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil && res.StatusCode < 500 {
 		t.Errorf("it read %s", res.Status)
 	}
 }
 
 // An id that is open already would leave the second request without an answer: the gateway passes over it.
-func TestAnIDThatIsOpen(t *testing.T) {
-	g := script(nil)
-	d := startInstance(t, g)
+func TestDuplicateRequestIDIsRejected(t *testing.T) {
+	handler := newScriptedHandler(nil)
+	instance := startGateway(t, handler)
 	first := make(chan int, 1)
 	go func() {
-		res, err := http.DefaultTransport.RoundTrip(d.newRequest(t, "look", func(r *http.Request) { r.Header.Set("Request-Timeout", "1.5") }))
+		res, err := http.DefaultTransport.RoundTrip(instance.newRequest(t, "look", func(r *http.Request) { r.Header.Set("Request-Timeout", "1.5") }))
 		if err != nil {
 			t.Error(err)
 			first <- 0
@@ -214,8 +214,8 @@
 		res.Body.Close()
 		first <- res.StatusCode
 	}()
-	next[gateway.Request](t, g)
-	if res, _ := do(t, d.newRequest(t, "look", nil)); res.StatusCode != 400 {
+	nextEvent[gateway.Request](t, handler)
+	if res, _ := doRequest(t, instance.newRequest(t, "look", nil)); res.StatusCode != 400 {
 		t.Errorf("the second of one id: %s", res.Status)
 	}
 	if got := <-first; got != http.StatusGatewayTimeout {
@@ -224,59 +224,59 @@
 }
 
 // A body that is cut midway is no answer: the attempt has failed, and the client is notified.
-func TestACutAnswerIsNotServed(t *testing.T) {
-	d := startInstance(t, nil, raw(t, func(_ int, conn net.Conn) {
+func TestTruncatedResponseIsNotServed(t *testing.T) {
+	instance := startGateway(t, nil, startRawBackend(t, func(_ int, conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 		conn.Close()
 	}))
-	if res, body := do(t, d.newRequest(t, "pay", nil)); res.StatusCode != http.StatusBadGateway || body != "" {
+	if res, body := doRequest(t, instance.newRequest(t, "pay", nil)); res.StatusCode != http.StatusBadGateway || body != "" {
 		t.Errorf("%s %q", res.Status, body)
 	}
 }
 
 // After SIGTERM clients still come for a while, and what was taken must be answered before the end.
-func TestNothingIsLostAtTheEnd(t *testing.T) {
-	goOn, read := make(chan bool), make(chan bool, 2)
-	d := startInstance(t, nil, serve(t, func(w http.ResponseWriter, _ *http.Request) {
+func TestGracefulShutdownLosesNoRequest(t *testing.T) {
+	respond, read := make(chan bool), make(chan bool, 2)
+	instance := startGateway(t, nil, startHTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		read <- true
-		<-goOn
+		<-respond
 		io.WriteString(w, "done")
 	}))
-	ask := func(id string) chan *http.Response {
-		c := make(chan *http.Response, 1)
+	startRequest := func(id string) chan *http.Response {
+		response := make(chan *http.Response, 1)
 		go func() {
-			res, err := (&http.Transport{}).RoundTrip(d.newRequest(t, "look", func(r *http.Request) { r.Header.Set("Request-Id", id) }))
+			res, err := (&http.Transport{}).RoundTrip(instance.newRequest(t, "look", func(r *http.Request) { r.Header.Set("Request-Id", id) }))
 			if err != nil {
 				t.Error(err)
 			} else {
 				res.Body.Close()
 			}
-			c <- res
+			response <- res
 		}()
-		return c
+		return response
 	}
-	held := ask("00000000000000a1")
-	await(t, read, "the first request")
-	d.stop()
-	late := ask("00000000000000a2") // on a new connection
-	await(t, read, "the request that came after SIGTERM")
+	early := startRequest("00000000000000a1")
+	awaitSignal(t, read, "the first request")
+	instance.stop()
+	late := startRequest("00000000000000a2") // on a new connection
+	awaitSignal(t, read, "the request that came after SIGTERM")
 	select {
-	case err := <-d.done:
+	case err := <-instance.done:
 		t.Fatalf("ended with two requests open: %v", err)
 	case <-time.After(drainMax + 100*time.Millisecond):
 	}
-	close(goOn)
-	for name, c := range map[string]chan *http.Response{"held": held, "late": late} {
-		if res := <-c; res == nil || res.StatusCode != 200 || name == "late" && !res.Close {
+	close(respond)
+	for name, response := range map[string]chan *http.Response{"held": early, "late": late} {
+		if res := <-response; res == nil || res.StatusCode != 200 || name == "late" && !res.Close {
 			t.Errorf("%s: %+v", name, res)
 		}
 	}
 	select {
-	case err := <-d.done:
+	case err := <-instance.done:
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(patient):
+	case <-time.After(testTimeout):
 		t.Error("it never ended")
 	}
 }
--- a/internal/frontdoor/config_test.go
+++ b/internal/frontdoor/config_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestConfig(t *testing.T) {
-	c := config(t)
+	c := newTestConfig(t)
 	if c.Seed != 0x8c1f30d27a5be964 || c.SavedList.Version != 41 || c.Connections.IdleTimeout != 15*time.Second ||
 		c.Connections.ConnectTimeout != 250*time.Millisecond || len(c.Settings.Classes) != 2 || c.Limits.Sockets != 1024 {
 		t.Errorf("%+v", c)
@@ -28,7 +28,7 @@
 		"unknown effect": {`"dedup"`, `"maybe"`},
 		"no idle time":   {`"conn_idle_us":15000000,`, ""},
 	} {
-		if _, err := parseConfig([]byte(strings.Replace(testConfig, change[0], change[1], 1))); err == nil {
+		if _, err := parseConfig([]byte(strings.Replace(testConfigJSON, change[0], change[1], 1))); err == nil {
 			t.Errorf("%s: no error", name)
 		} else if strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: more than a line: %v", name, err)
--- a/internal/frontdoor/discovery_test.go
+++ b/internal/frontdoor/discovery_test.go
@@ -16,7 +16,7 @@
 )
 
 // prompt is the retry policy for an agent that may take long over a request.
-var prompt = retryPolicy{drainGrace: time.Duration(float64(patient) / agentTimeoutFraction)}
+var prompt = retryPolicy{drainGrace: time.Duration(float64(testTimeout) / agentTimeoutFraction)}
 
 const entry = `{"host":"s-1","dial":"127.0.0.1:%d","site":"a","class":"m2","block":3,"health":"%s","share":1.0,"born_ms":0}`
 
@@ -25,7 +25,7 @@
 func TestWatchGoesOnWhereItWas(t *testing.T) {
 	requested := make(chan string, 10)
 	n := 0
-	addr := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		n++
 		requested <- r.URL.RawQuery
 		switch n {
@@ -42,7 +42,7 @@
 	lists := make(chan EndpointList, 10)
 	f := newWatcher(&http.Transport{}, prompt, addr, 41, func(l EndpointList) { lists <- l })
 	for want, wantSeq := range []int64{42, 42, 43} {
-		ctx, cancel := context.WithTimeout(t.Context(), patient)
+		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		err := f.watch(ctx)
 		if err == nil || ctx.Err() != nil || f.version != wantSeq {
 			t.Errorf("watch %d ended with %v at version %d, want %d", want+1, err, f.version, wantSeq)
@@ -61,7 +61,7 @@
 
 // Empty lines keep a watch alive for longer than its time-out.
 func TestEmptyLinesKeepAWatch(t *testing.T) {
-	addr := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+	addr := startHTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		for range 12 {
 			fmt.Fprintln(w)
 			w.(http.Flusher).Flush()
@@ -77,8 +77,8 @@
 
 // A bad entry is passed over, the rest of its line counts; a host keeps its id until it is gone.
 func TestListsReachTheGateway(t *testing.T) {
-	g := script(nil)
-	b := NewBackends(config(t))
+	g := newScriptedHandler(nil)
+	b := NewBackends(newTestConfig(t))
 	k := clock{time.Now()}
 	l := newLoop(k, g, b)
 	e := func(host, dial, health string, born int64) Endpoint {
@@ -88,7 +88,7 @@
 	l.Update(EndpointList{Full: true, Endpoints: []Endpoint{e("s-1", "127.0.0.1:7", "Ready", 0),
 		e("", "127.0.0.1:7", "Ready", 0), e("s-3", "127.0.0.1:7", "Unwell", 0), e("s-4", "", "Ready", 0),
 		e("s-2", "127.0.0.1:8", "Ready", hourAgo), e("s-5", "127.0.0.1:9", "Ready", 1)}})
-	first := next[gateway.BackendList](t, g)
+	first := nextEvent[gateway.BackendList](t, g)
 	if first.Kind != gateway.ListFull || len(first.Backends) != 3 {
 		t.Fatalf("%+v", first)
 	}
@@ -100,13 +100,13 @@
 	}
 	l.Update(EndpointList{Endpoints: []Endpoint{e("s-1", "127.0.0.1:17", "Gone", 0)}})
 	l.Update(EndpointList{Endpoints: []Endpoint{e("s-1", "127.0.0.1:27", "Ready", 0)}})
-	if gone, back := next[gateway.BackendList](t, g), next[gateway.BackendList](t, g); gone.Kind != gateway.ListChanges ||
+	if gone, back := nextEvent[gateway.BackendList](t, g), nextEvent[gateway.BackendList](t, g); gone.Kind != gateway.ListChanges ||
 		gone.Backends[0].State != gateway.Gone || back.Backends[0].ID == first.Backends[0].ID {
 		t.Errorf("%+v, then %+v", gone, back)
 	}
 	two := first.Backends[1].ID
 	l.Update(EndpointList{Endpoints: []Endpoint{e("s-2", "127.0.0.1:28", "Ready", hourAgo)}})
-	if again := next[gateway.BackendList](t, g); again.Backends[0].ID != two || b.readyEndpoint(two) == nil || b.readyEndpoint(two).addr != "127.0.0.1:28" {
+	if again := nextEvent[gateway.BackendList](t, g); again.Backends[0].ID != two || b.readyEndpoint(two) == nil || b.readyEndpoint(two).addr != "127.0.0.1:28" {
 		t.Errorf("moved: %+v, ready at %+v", again, b.readyEndpoint(two))
 	}
 	l.Update(EndpointList{Full: true}) // what a whole list lacks is gone
@@ -120,7 +120,7 @@
 func TestAMoveTakesTheWholeList(t *testing.T) {
 	discovery := func(answer func(r *http.Request) string) (string, chan string) {
 		requested := make(chan string, 10)
-		return serve(t, func(w http.ResponseWriter, r *http.Request) {
+		return startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			requested <- r.URL.RequestURI()
 			fmt.Fprintln(w, answer(r))
 			if r.URL.RawQuery != "" {
@@ -326,7 +326,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.Write(text) })
+	addr := startHTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { w.Write(text) })
 	for how, take := range map[string]func(*watcher, context.Context) error{
 		"whole":   (*watcher).fetch,
 		"watched": (*watcher).watch,
@@ -345,12 +345,12 @@
 func TestMovesInTheMiddleOfARequest(t *testing.T) {
 	requested := make(chan string, 100)
 	silent := func(name string) string {
-		return serve(t, func(_ http.ResponseWriter, r *http.Request) {
+		return startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 			requested <- name
 			<-r.Context().Done()
 		})
 	}
-	last := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	last := startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintln(w, "{\n  \"seq\": 5,\n  \"whole\": true,\n  \"hosts\": [\n    {\n      \"host\": \"s-1\",\n"+
 			"      \"dial\": \"127.0.0.1:1\",\n      \"health\": \"Terminating\"\n    }\n  ]\n}")
 		if r.URL.RawQuery != "" {
--- a/internal/frontdoor/fleet_discovery_test.go
+++ b/internal/frontdoor/fleet_discovery_test.go
@@ -316,7 +316,7 @@
 
 // An empty line confirms the list, but only after the watch has said what had changed before it.
 func TestEmptyLinesConfirmTheList(t *testing.T) {
-	addr := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+	addr := startHTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		for _, line := range []string{"", `{"seq":7,"whole":false,"hosts":[]}`, "", ""} {
 			fmt.Fprintln(w, line)
 			w.(http.Flusher).Flush()
--- a/internal/frontdoor/frontdoor_test.go
+++ b/internal/frontdoor/frontdoor_test.go
@@ -16,9 +16,9 @@
 )
 
 // patient is how long a test waits for something that must happen: it fails then, and only then.
-const patient = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-const testConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
+const testConfigJSON = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "known":{"seq":41,"whole":true,"hosts":[]},
  "settings":{"balancers":2,"me":0,
@@ -32,16 +32,16 @@
   "stats":{"columns":["depth","tps"],"how":"answers"},
   "obligations":{"cold_from":0.2,"warm_within_us":1000000,"fall_multiple":4,"fall_us":1000000}}}`
 
-func config(t testing.TB) Config {
+func newTestConfig(t testing.TB) Config {
 	t.Helper()
-	c, err := parseConfig([]byte(testConfig))
+	config, err := parseConfig([]byte(testConfigJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c
+	return config
 }
 
-func ready(addrs ...string) EndpointList {
+func readyList(addrs ...string) EndpointList {
 	list := EndpointList{Version: 42, Full: true}
 	for i, addr := range addrs {
 		list.Endpoints = append(list.Endpoints, Endpoint{Host: fmt.Sprintf("s-%d", i), Address: addr, State: "Ready", Weight: 1})
@@ -50,50 +50,50 @@
 }
 
 // testInstance is an instance that serves on a port of the system's choosing.
-type testInstance struct {
+type testGateway struct {
 	addr string
 	loop *Loop
 	stop context.CancelFunc
 	done chan error
 }
 
-func startInstance(t testing.TB, decisions eventHandler, addrs ...string) *testInstance {
+func startGateway(t testing.TB, handler eventHandler, addrs ...string) *testGateway {
 	t.Helper()
-	c := config(t)
-	backends := NewBackends(c)
-	loop, err := NewLoop(c, backends)
+	config := newTestConfig(t)
+	backends := NewBackends(config)
+	loop, err := NewLoop(config, backends)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if decisions != nil {
-		loop = newLoop(loop.clock, decisions, backends)
+	if handler != nil {
+		loop = newLoop(loop.clock, handler, backends)
 	}
-	loop.Update(ready(addrs...))
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	loop.Update(readyList(addrs...))
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	d := &testInstance{addr: ln.Addr().String(), loop: loop, stop: stop, done: make(chan error, 1)}
-	go func() { d.done <- NewServer(c, loop).Run(ctx, ln) }()
+	instance := &testGateway{addr: listener.Addr().String(), loop: loop, stop: stop, done: make(chan error, 1)}
+	go func() { instance.done <- NewServer(config, loop).Run(ctx, listener) }()
 	t.Cleanup(stop)
-	return d
+	return instance
 }
 
 // newRequest builds a good request; change alters it.
-func (d *testInstance) newRequest(t testing.TB, class string, change func(*http.Request)) *http.Request {
+func (g *testGateway) newRequest(t testing.TB, class string, change func(*http.Request)) *http.Request {
 	t.Helper()
 	method, body := http.MethodGet, io.Reader(nil)
 	if class == "pay" {
 		method, body = http.MethodPost, strings.NewReader("amount=3")
 	}
-	req, err := http.NewRequest(method, "http://"+d.addr+"/"+class, body)
+	req, err := http.NewRequest(method, "http://"+g.addr+"/"+class, body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for k, v := range map[string]string{"Request-Id": "9b1f03aa5c7e2d41", "Request-Class": class, "X-Tier": "basic",
+	for name, value := range map[string]string{"Request-Id": "9b1f03aa5c7e2d41", "Request-Class": class, "X-Tier": "basic",
 		"X-Api-Key": "00000000b4d65521", "Request-Timeout": "20.5", "X-Call-Terms": "units=2,spread=2,first=1"} {
-		req.Header.Set(k, v)
+		req.Header.Set(name, value)
 	}
 	if class == "pay" {
 		req.Header.Set("Idempotency-Key", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
@@ -104,9 +104,9 @@
 	return req
 }
 
-func do(t *testing.T, req *http.Request) (*http.Response, string) {
+func doRequest(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
-	client := &http.Client{Timeout: patient, Transport: &http.Transport{}}
+	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	res, err := client.Do(req)
 	if err != nil {
@@ -120,21 +120,21 @@
 	return res, string(body)
 }
 
-func serve(t *testing.T, h http.HandlerFunc) string {
+func startHTTPServer(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
-	s := httptest.NewServer(h)
-	t.Cleanup(s.Close)
-	return strings.TrimPrefix(s.URL, "http://")
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	return strings.TrimPrefix(server.URL, "http://")
 }
 
 // raw is a backend on bare connections: it reads whole requests and hands each to answer, with its number.
-func raw(t *testing.T, answer func(n int, conn net.Conn)) string {
+func startRawBackend(t *testing.T, respond func(n int, conn net.Conn)) string {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { listener.Close() })
 	numbers := make(chan int)
 	go func() {
 		for n := 1; ; n++ {
@@ -147,56 +147,56 @@
 	}()
 	go func() {
 		for {
-			conn, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
 				defer conn.Close()
-				r := bufio.NewReader(conn)
+				reader := bufio.NewReader(conn)
 				for {
-					req, err := http.ReadRequest(r)
+					req, err := http.ReadRequest(reader)
 					if err != nil {
 						return
 					}
 					if _, err := io.Copy(io.Discard, req.Body); err != nil {
 						return
 					}
-					answer(<-numbers, conn)
+					respond(<-numbers, conn)
 				}
 			}()
 		}
 	}()
-	return ln.Addr().String()
+	return listener.Addr().String()
 }
 
 // scripted is a gateway that acts by its script and records the events it receives.
-type scripted struct {
-	received chan gateway.Event
-	on       func(gateway.Event) []gateway.Action
+type scriptedHandler struct {
+	received   chan gateway.Event
+	actionsFor func(gateway.Event) []gateway.Action
 }
 
-func (s *scripted) Handle(_ time.Duration, ev gateway.Event, as []gateway.Action) []gateway.Action {
-	s.received <- ev
-	if s.on != nil {
-		as = append(as, s.on(ev)...)
+func (s *scriptedHandler) Handle(_ time.Duration, event gateway.Event, actions []gateway.Action) []gateway.Action {
+	s.received <- event
+	if s.actionsFor != nil {
+		actions = append(actions, s.actionsFor(event)...)
 	}
-	return as
+	return actions
 }
 
-func script(on func(gateway.Event) []gateway.Action) *scripted {
-	return &scripted{received: make(chan gateway.Event, 100), on: on}
+func newScriptedHandler(actionsFor func(gateway.Event) []gateway.Action) *scriptedHandler {
+	return &scriptedHandler{received: make(chan gateway.Event, 100), actionsFor: actionsFor}
 }
 
 // next is the next event of a type.
-func next[E gateway.Event](t testing.TB, s *scripted) E {
+func nextEvent[E gateway.Event](t testing.TB, handler *scriptedHandler) E {
 	t.Helper()
-	timeout := time.After(patient)
+	timeout := time.After(testTimeout)
 	for {
 		select {
-		case ev := <-s.received:
-			if e, ok := ev.(E); ok {
-				return e
+		case event := <-handler.received:
+			if typed, ok := event.(E); ok {
+				return typed
 			}
 		case <-timeout:
 			t.Fatalf("no %T was received", *new(E))
@@ -205,49 +205,49 @@
 }
 
 // serveInstance starts an instance on a listener of the test's.
-func serveInstance(t *testing.T, decisions eventHandler, ln net.Listener, addrs ...string) *testInstance {
+func startGatewayOn(t *testing.T, handler eventHandler, listener net.Listener, addrs ...string) *testGateway {
 	t.Helper()
-	c := config(t)
-	backends := NewBackends(c)
-	loop := newLoop(clock{time.Now()}, decisions, backends)
-	loop.Update(ready(addrs...))
+	config := newTestConfig(t)
+	backends := NewBackends(config)
+	loop := newLoop(clock{time.Now()}, handler, backends)
+	loop.Update(readyList(addrs...))
 	ctx, stop := context.WithCancel(context.Background())
-	d := &testInstance{addr: ln.Addr().String(), loop: loop, stop: stop, done: make(chan error, 1)}
-	go func() { d.done <- NewServer(c, loop).Run(ctx, ln) }()
+	instance := &testGateway{addr: listener.Addr().String(), loop: loop, stop: stop, done: make(chan error, 1)}
+	go func() { instance.done <- NewServer(config, loop).Run(ctx, listener) }()
 	t.Cleanup(stop)
-	return d
+	return instance
 }
 
-func listen(t *testing.T) *net.TCPListener {
+func listenTCP(t *testing.T) *net.TCPListener {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
-	return ln.(*net.TCPListener)
+	t.Cleanup(func() { listener.Close() })
+	return listener.(*net.TCPListener)
 }
 
 // text is a good request as it stands on the wire.
-func (d *testInstance) text(t *testing.T, class, id string) string {
+func (g *testGateway) requestText(t *testing.T, class, id string) string {
 	t.Helper()
 	var text strings.Builder
-	if err := d.newRequest(t, class, func(r *http.Request) { r.Header.Set("Request-Id", id) }).Write(&text); err != nil {
+	if err := g.newRequest(t, class, func(r *http.Request) { r.Header.Set("Request-Id", id) }).Write(&text); err != nil {
 		t.Fatal(err)
 	}
 	return text.String()
 }
 
 // refuseAll refuses every request at once.
-func refuseAll(ev gateway.Event) []gateway.Action {
-	if r, ok := ev.(gateway.Request); ok {
-		return []gateway.Action{gateway.Reject{Request: r.ID}}
+func rejectAll(event gateway.Event) []gateway.Action {
+	if request, ok := event.(gateway.Request); ok {
+		return []gateway.Action{gateway.Reject{Request: request.ID}}
 	}
 	return nil
 }
 
 // leaving is how a client goes: by a close, which its machine tells as a reset if data is left unread.
-var leaving = map[string]func(net.Conn){
+var disconnectMethods = map[string]func(net.Conn){
 	"closes": func(c net.Conn) { c.Close() },
 	"resets": func(c net.Conn) {
 		c.(*net.TCPConn).SetLinger(0)
--- a/internal/frontdoor/fuzz_test.go
+++ b/internal/frontdoor/fuzz_test.go
@@ -25,7 +25,7 @@
 		"first=9223372036854775808,spread=1,units=1", "units=0x1p3, spread=2 ,first=0,new=1"} {
 		f.Add(s)
 	}
-	c, err := parseConfig([]byte(testConfig))
+	c, err := parseConfig([]byte(testConfigJSON))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 	f.Add("GET /look HTTP/1.1\r\nHost: a\r\nRequest-Id: 9b1f03aa5c7e2d41\r\nRequest-Class: look\r\nX-Tier: basic\r\n" +
 		"X-Api-Key: 00000000b4d65521\r\nRequest-Timeout: 0.480\r\nX-Call-Terms: units=2,spread=1,first=1\r\n\r\n")
 	f.Add("POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: 70000\r\n\r\n")
-	c, err := parseConfig([]byte(testConfig))
+	c, err := parseConfig([]byte(testConfigJSON))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\n\r\nno length"))
 	f.Add([]byte("\x00\xff noise"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		b := NewBackends(config(t))
+		b := NewBackends(newTestConfig(t))
 		near, far := net.Pipe()
 		defer near.Close()
 		go func() {
@@ -99,7 +99,7 @@
 		if json.Unmarshal(text, &list) != nil {
 			return
 		}
-		c := config(t)
+		c := newTestConfig(t)
 		l, err := NewLoop(c, NewBackends(c))
 		if err != nil {
 			t.Fatal(err)
@@ -113,9 +113,9 @@
 }
 
 func FuzzConfig(f *testing.F) {
-	f.Add([]byte(testConfig))
-	f.Add([]byte(strings.Replace(testConfig, "20000000", "-1", 1)))
-	f.Add([]byte(strings.Replace(testConfig, `"burst":1000`, `"burst":1e400`, 1)))
+	f.Add([]byte(testConfigJSON))
+	f.Add([]byte(strings.Replace(testConfigJSON, "20000000", "-1", 1)))
+	f.Add([]byte(strings.Replace(testConfigJSON, `"burst":1000`, `"burst":1e400`, 1)))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c, err := parseConfig(text)
 		if err != nil {
--- a/internal/frontdoor/lease_test.go
+++ b/internal/frontdoor/lease_test.go
@@ -13,12 +13,12 @@
 // until discovery has sent one; after firstListTimeout it is ready all the same. Where lists are pushed, it is ready
 // at once.
 func TestReadyWithTheFirstList(t *testing.T) {
-	c := config(t)
+	c := newTestConfig(t)
 	if !NewServer(c, mustLoop(t, c)).ready() {
 		t.Error("not ready where lists are pushed")
 	}
 	c.Settings.AskForList = true
-	c.SavedList = ready("127.0.0.1:7")
+	c.SavedList = readyList("127.0.0.1:7")
 	loop := mustLoop(t, c)
 	clients := NewServer(c, loop)
 	if clients.ready() {
@@ -42,8 +42,8 @@
 		t.Errorf("not ready after %v", firstListTimeout)
 	}
 	clients.started = time.Now()
-	addr := serve(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
-	loop.Update(ready(addr))
+	addr := startHTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
+	loop.Update(readyList(addr))
 	if !clients.ready() {
 		t.Error("not ready with a list")
 	}
@@ -64,7 +64,7 @@
 // The lease of a list ends, with the time that a connection may take to come up, before what discovery may have had
 // since counts as known.
 func TestListLeaseEndsInTime(t *testing.T) {
-	c := config(t)
+	c := newTestConfig(t)
 	if lease := listLease(c); lease != 0 {
 		t.Errorf("a lease of %v where lists are pushed", lease)
 	}
--- a/internal/frontdoor/lists_test.go
+++ b/internal/frontdoor/lists_test.go
@@ -93,10 +93,10 @@
 
 // A closed loop's timers end: its gateway is notified of no further timer.
 func TestClosedLoopIsNotifiedOfNoTimer(t *testing.T) {
-	g := script(nil)
-	l := newLoop(clock{time.Now()}, g, NewBackends(config(t)))
+	g := newScriptedHandler(nil)
+	l := newLoop(clock{time.Now()}, g, NewBackends(newTestConfig(t)))
 	l.post(gateway.Timer{Token: 1})
-	if timer := next[gateway.Timer](t, g); timer.Token != 1 {
+	if timer := nextEvent[gateway.Timer](t, g); timer.Token != 1 {
 		t.Errorf("heard of timer %d", timer.Token)
 	}
 	l.Close()
