--- a/internal/frontdoor/attempts_test.go
+++ b/internal/frontdoor/attempts_test.go
@@ -11,54 +11,59 @@
 	"herontiller/internal/gateway"
 )
 
-// The tests of this file make an attempt cross with the end of its request, every time.
+// The tests in this file force races between an attempt and the end of its request.
 
-// gatedDials lets the test hold connections while they come up. Each is announced on dialing.
+// blockDials blocks the dials of backends. Each dial sends on dialing, and then connects once the test sends on
+// proceed.
 func blockDials(backends *Backends) (dialing chan bool, proceed chan bool) {
 	dialing, proceed = make(chan bool, 1), make(chan bool)
 	dial := backends.pool.dial
 	backends.pool.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dialing <- true
 		<-proceed
-		return dial(context.WithoutCancel(ctx), network, addr) // it has come up in the same moment as ctx ended
+		return dial(context.WithoutCancel(ctx), network, addr) // the connection succeeds even if ctx has ended
 	}
 	return dialing, proceed
 }
 
-// A request whose client disconnects while its connection to the backend comes up is not sent on, also where the
-// settings allow no cancel, as nothing has been sent that could be cancelled. Neither is one that has its final
-// answer.
+// If the client disconnects while the connection to the backend is being established, the request must not be sent.
+// This applies even if the settings forbid cancelling attempts, as nothing has been sent yet that could be cancelled.
+// It applies to a request that already has its final response, too.
 func TestDisconnectionWhileConnectingPreventsSend(t *testing.T) {
 	for method, disconnect := range disconnectMethods {
 		t.Run(method, func(t *testing.T) {
 			received := make(chan int, 1)
-			handler := newScriptedHandler(sendAllTo(1)) // and never a Cancel
-			instance := startGatewayOn(t, handler, listenTCP(t), startRawBackend(t, func(n int, _ net.Conn) { received <- n }))
+			handler := newScriptedHandler(sendAllTo(1)) // never cancels
+			instance := startGatewayOn(t, handler, listenTCP(t), startRawBackend(t, func(n int, _ net.Conn) {
+				received <- n
+			}))
 			dialing, proceed := blockDials(instance.loop.backends)
 			conn := dialConns(t, instance.addr, 1)[0]
 			io.WriteString(conn, instance.requestText(t, "pay", "00000000000000a1"))
-			awaitSignal(t, dialing, "the connection to come up")
+			awaitSignal(t, dialing, "the dial")
 			disconnect(conn)
 			nextEvent[gateway.ClientGone](t, handler)
 			proceed <- true
 			if outcome := nextEvent[gateway.Outcome](t, handler); outcome.Result != gateway.NotSent || !outcome.Final {
-				t.Errorf("%+v", outcome)
+				t.Errorf("got %+v, want NotSent, final", outcome)
 			}
 			if len(received) > 0 {
-				t.Error("the backend was sent the request")
+				t.Error("the backend got the request, want it not sent")
 			}
 		})
 	}
 }
 
-// deafListener is a listener whose connections never notify the server's watch that the client has disconnected, as if
-// the process did not come to it: a watch reads into a buffer of its own size.
+// undetectedCloseListener accepts connections on which clientConn doesn't detect that the client disconnects until
+// unblock is closed, as if the process were short of CPU.
 type undetectedCloseListener struct {
 	*net.TCPListener
-	accepted chan net.Conn
+	accepted chan net.Conn // receives each accepted connection
 	unblock  chan bool
 }
 
+// undetectedCloseConn is a connection of an undetectedCloseListener. It blocks the reads that detect a disconnection,
+// which it recognises by the size of their buffer.
 type undetectedCloseConn struct {
 	*net.TCPConn
 	unblock chan bool
@@ -80,13 +85,13 @@
 	return c.TCPConn.Read(p)
 }
 
-// An attempt, first or further, does not begin after its client has disconnected, also while the loop has not been
-// notified of that: for a request that is held, that dials, or whose last attempt has just failed, and also where
-// nothing may be cancelled.
+// No attempt, neither the first nor a retry, may start after the client has disconnected, even if the loop has not been
+// notified of this yet and no attempt is cancelled. The request is queued, is connecting to the backend, or its
+// previous attempt has just failed.
 func TestNoAttemptStartsAfterDisconnection(t *testing.T) {
 	for method, disconnect := range disconnectMethods {
-		for _, when := range []string{"held", "dialling", "between attempts"} {
-			t.Run(method+" "+when, func(t *testing.T) {
+		for _, state := range []string{"queued", "connecting", "between attempts"} {
+			t.Run(method+" "+state, func(t *testing.T) {
 				received, fail := make(chan int, 3), make(chan bool)
 				addr := startRawBackend(t, func(n int, conn net.Conn) {
 					received <- n
@@ -96,7 +101,7 @@
 				handler := newScriptedHandler(func(event gateway.Event) []gateway.Action {
 					switch event := event.(type) {
 					case gateway.Request:
-						if when != "held" {
+						if state != "queued" {
 							return []gateway.Action{gateway.Send{Request: event.ID, Backend: 1}}
 						}
 					case gateway.Timer:
@@ -116,53 +121,53 @@
 				serverConn := <-listener.accepted
 				io.WriteString(conn, instance.requestText(t, "look", "00000000000000a1"))
 				nextEvent[gateway.Request](t, handler)
-				switch when {
-				case "dialling":
-					awaitSignal(t, dialing, "the connection to come up")
+				switch state {
+				case "connecting":
+					awaitSignal(t, dialing, "the dial")
 				case "between attempts":
-					awaitSignal(t, dialing, "the first connection to come up")
+					awaitSignal(t, dialing, "the first dial")
 					proceed <- true
 					<-received
 				}
 				disconnect(conn)
 				for deadline := time.Now().Add(testTimeout); peekSocket(serverConn) != peerClosed; {
 					if time.Now().After(deadline) {
-						t.Fatal("the leaving was never to be seen")
+						t.Fatal("the disconnection has not arrived at the gateway's socket")
 					}
 				}
-				switch when {
-				case "held":
+				switch state {
+				case "queued":
 					instance.loop.post(gateway.Timer{})
-					awaitSignal(t, dialing, "the connection to come up")
+					awaitSignal(t, dialing, "the dial")
 				case "between attempts":
 					close(fail)
 					if nextEvent[gateway.Outcome](t, handler).Result != gateway.AnsweredErr {
-						t.Error("the first attempt did not fail")
+						t.Error("first attempt: got another result, want AnsweredErr")
 					}
 				}
 				proceed <- true
 				var outcome gateway.Outcome
-				for gone, attemptEnded := false, false; !gone || !attemptEnded; {
+				for disconnected, attemptEnded := false, false; !disconnected || !attemptEnded; {
 					switch event := nextEvent[gateway.Event](t, handler).(type) {
 					case gateway.ClientGone:
-						gone = true
+						disconnected = true
 					case gateway.Outcome:
 						outcome, attemptEnded = event, true
 					}
 				}
 				if outcome.Result != gateway.NotSent {
-					t.Errorf("%+v", outcome)
+					t.Errorf("got %+v, want NotSent", outcome)
 				}
 				if len(received) > 0 {
-					t.Error("the backend was sent the request")
+					t.Error("the backend got the request, want it not sent")
 				}
 			})
 		}
 	}
 }
 
-// An attempt that must have begun by some time is not sent later, however late its connection comes up: a keyed
-// request's repeat would find the backends' memory of the first attempt gone.
+// An attempt must not be sent after the time limit of its Send action, even if connecting takes long: when a keyed
+// request is retried too late, the backends no longer remember the first attempt and can't detect the duplicate.
 func TestAttemptIsNotSentAfterWithin(t *testing.T) {
 	received := make(chan int, 1)
 	handler := newScriptedHandler(func(event gateway.Event) []gateway.Action {
@@ -171,21 +176,24 @@
 		}
 		return nil
 	})
-	instance := startGatewayOn(t, handler, listenTCP(t), startRawBackend(t, func(n int, _ net.Conn) { received <- n }))
+	instance := startGatewayOn(t, handler, listenTCP(t), startRawBackend(t, func(n int, _ net.Conn) {
+		received <- n
+	}))
 	conn := dialConns(t, instance.addr, 1)[0]
 	io.WriteString(conn, instance.requestText(t, "pay", "00000000000000a1"))
 	if outcome := nextEvent[gateway.Outcome](t, handler); outcome.Result != gateway.NotSent || outcome.Final {
-		t.Errorf("%+v", outcome)
+		t.Errorf("got %+v, want NotSent, not final", outcome)
 	}
 	if len(received) > 0 {
-		t.Error("the backend was sent the request")
+		t.Error("the backend got the request, want it not sent")
 	}
 }
 
-// stuck is a connection whose other side takes nothing: a write ends by its deadline or by the close only.
+// blockedWriteConn is a connection on which a write never completes. It fails at its deadline or when the connection is
+// closed.
 type blockedWriteConn struct {
 	net.Conn
-	writing chan bool
+	writing chan bool // closed by the first write
 	once    sync.Once
 }
 
@@ -198,8 +206,8 @@
 	}
 }
 
-// A write that blocks ends with its attempt, and the connection is closed before the attempt's outcome is reported:
-// what the gateway sends next can't meet it.
+// A blocked write must end with its attempt, and the connection must be closed before the outcome is reported, so that
+// the attempt can't overlap with the next one.
 func TestBlockedWriteEndsWithAttempt(t *testing.T) {
 	listener := listenTCP(t)
 	accepted := make(chan net.Conn, 1)
@@ -227,18 +235,18 @@
 	select {
 	case got := <-result:
 		if got != gateway.NotSent {
-			t.Errorf("it ended as %v", got)
+			t.Errorf("got result %v, want NotSent", got)
 		}
 	case <-time.After(testTimeout / 2):
-		t.Fatal("the write went on after its request had ended")
+		t.Fatal("the write continues after its attempt was cancelled, want it to end")
 	}
 	if _, err := blockedConn.Conn.Write([]byte("x")); err == nil {
-		t.Error("the connection is open when the outcome is reported")
+		t.Error("the connection is still open when the outcome is reported, want it closed")
 	}
 	(<-accepted).Close()
 }
 
-// The last byte of a given-up attempt's connection comes before the first of the next attempt.
+// The connection of a cancelled attempt must be closed before the backend receives the next attempt.
 func TestCancelledAttemptIsClosedBeforeNext(t *testing.T) {
 	received := make(chan net.Conn, 2)
 	addr := startRawBackend(t, func(_ int, conn net.Conn) {
@@ -263,47 +271,47 @@
 	io.WriteString(conn, instance.requestText(t, "look", "00000000000000a1"))
 	first := <-received
 	instance.loop.post(gateway.Timer{})
-	<-received // the next one's bytes have come
+	<-received // the backend has the next attempt
 	for deadline := time.Now().Add(testTimeout); peekSocket(first) != peerClosed; {
 		if time.Now().After(deadline) {
-			t.Fatal("the first attempt's connection is open")
+			t.Fatal("the first attempt's connection is still open, want it closed")
 		}
 	}
 }
 
-// A second answer that comes some milliseconds behind the first must not be read as the next request's: a connection on
-// which the first came 10 ms ago is not used yet.
+// A second response that arrives some milliseconds after the first must not be read as the response to the next
+// request: a connection that received its response 10 ms ago, less than reuseCooldown, must not be reused yet.
 func TestLateSecondResponseIsNotServed(t *testing.T) {
 	for range 100 {
 		var mu sync.Mutex
-		seen := map[net.Conn]bool{}
+		responded := map[net.Conn]bool{}
 		backends, id := newTestBackends(t, startRawBackend(t, func(_ int, conn net.Conn) {
 			mu.Lock()
 			defer mu.Unlock()
-			if seen[conn] {
+			if responded[conn] {
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond")
 			}
-			seen[conn] = true
+			responded[conn] = true
 			io.WriteString(conn, okResponse)
 		}))
 		if outcome := backends.send(t.Context(), t.Context(), id, lookRequest); string(outcome.body) != "ok" {
-			t.Fatalf("the first was answered %q", outcome.body)
+			t.Fatalf("first request: got body %q, want \"ok\"", outcome.body)
 		}
 		backends.mu.Lock()
 		endpoint := backends.byID[id].endpoint
 		backends.mu.Unlock()
 		backends.pool.mu.Lock()
-		answered := time.Now().Add(-10 * time.Millisecond)
-		endpoint.idleConns[0].idleSince = answered
+		respondedAt := time.Now().Add(-10 * time.Millisecond)
+		endpoint.idleConns[0].idleSince = respondedAt
 		backends.pool.mu.Unlock()
 		outcome := backends.send(t.Context(), t.Context(), id, lookRequest)
-		if time.Since(answered) > 40*time.Millisecond {
-			continue // this machine was too slow: the rest may rightly have been over
+		if time.Since(respondedAt) > 40*time.Millisecond {
+			continue // too slow: reuseCooldown may have passed, and reuse would be correct
 		}
 		if string(outcome.body) != "ok" {
-			t.Errorf("the next request was answered %q", outcome.body)
+			t.Errorf("next request: got body %q, want \"ok\"", outcome.body)
 		}
 		return
 	}
-	t.Error("this machine is too slow to tell")
+	t.Error("all 100 rounds took over 40ms, want one that is faster")
 }
--- a/internal/frontdoor/bench_test.go
+++ b/internal/frontdoor/bench_test.go
@@ -9,18 +9,22 @@
 	"testing"
 )
 
-// BenchmarkRequest is a request's way through an instance and back, with the client's and the backend's work.
+// BenchmarkRequest measures one request through a gateway, including the work of the client and the backend.
 func BenchmarkRequest(b *testing.B) {
-	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }))
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		io.WriteString(w, "ok")
+	}))
 	b.Cleanup(backend.Close)
 	instance := startGateway(b, newScriptedHandler(sendAllTo(1)), strings.TrimPrefix(backend.URL, "http://"))
 	client := &http.Transport{}
 	b.ReportAllocs()
-	for n := 0; b.Loop(); n++ {
+	for id := 0; b.Loop(); id++ {
 		for len(instance.loop.gateway.(*scriptedHandler).received) > 0 {
 			<-instance.loop.gateway.(*scriptedHandler).received
 		}
-		res, err := client.RoundTrip(instance.newRequest(b, "look", func(r *http.Request) { r.Header.Set("Request-Id", fmt.Sprintf("%016x", n)) }))
+		res, err := client.RoundTrip(instance.newRequest(b, "look", func(r *http.Request) {
+			r.Header.Set("Request-Id", fmt.Sprintf("%016x", id))
+		}))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/frontdoor/clients_test.go
+++ b/internal/frontdoor/clients_test.go
@@ -13,7 +13,7 @@
 	"herontiller/internal/gateway"
 )
 
-// sendTo sends every request to a backend and does nothing else.
+// sendAllTo returns a function for scriptedHandler that sends every request to a backend and takes no other action.
 func sendAllTo(id gateway.BackendID) func(gateway.Event) []gateway.Action {
 	return func(event gateway.Event) []gateway.Action {
 		if request, ok := event.(gateway.Request); ok {
@@ -23,6 +23,7 @@
 	}
 }
 
+// The path, query and headers of a request must reach the backend unchanged, and the body must come back unchanged.
 func TestRequestAndResponseAreForwardedUnchanged(t *testing.T) {
 	body := strings.Repeat("b", 10000)
 	instance := startGateway(t, nil, startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -32,7 +33,8 @@
 			r.Header.Get("Request-Id") != "9b1f03aa5c7e2d41" || r.Host != "origin.svc" ||
 			r.Header.Get("Idempotency-Key") != "5c0f6e1a2b3d4c59a8b7c6d5e4f30211" ||
 			err != nil || timeout <= 0 || timeout > 20.5 {
-			t.Errorf("the backend was sent %s %s %v %q", r.Method, r.RequestURI, r.Header, sent)
+			t.Errorf("the backend got %s %s, header %v, body %q; want the request as sent", r.Method, r.RequestURI,
+				r.Header, sent)
 		}
 		io.WriteString(w, body)
 	}))
@@ -41,11 +43,11 @@
 		r.Host = "origin.svc"
 	})
 	if res, got := doRequest(t, req); res.StatusCode != 200 || got != body {
-		t.Errorf("%s, %d bytes", res.Status, len(got))
+		t.Errorf("got %s with %d bytes, want 200 with the 10000 bytes of the backend", res.Status, len(got))
 	}
 }
 
-// What cannot be read is a failure at once: the gateway and the backends are not notified.
+// An invalid request must be rejected before any event reaches the event handler.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
@@ -60,25 +62,27 @@
 		"id not hex":        {"look", set("Request-Id", "9b1f03aa5c7e2dzz"), 400},
 		"two ids":           {"look", func(r *http.Request) { r.Header.Add("Request-Id", "9b1f03aa5c7e2d42") }, 400},
 		"unknown class":     {"look", set("Request-Class", "dream"), 400},
-		"class of no path":  {"look", set("Request-Class", "pay"), 400},
+		"class not in path": {"look", set("Request-Class", "pay"), 400},
 		"wrong method":      {"look", func(r *http.Request) { r.Method = http.MethodPost }, 400},
-		"GET with a body":   {"look", func(r *http.Request) { r.Body, r.ContentLength = io.NopCloser(strings.NewReader("x")), 1 }, 400},
-		"no key":            {"pay", func(r *http.Request) { r.Header.Del("Idempotency-Key") }, 400},
-		"unknown plan":      {"look", set("X-Tier", "gold"), 400},
-		"customer too high": {"look", set("X-Api-Key", "0000000200000000"), 400},
-		"customer not hex":  {"look", set("X-Api-Key", "-000000000000001"), 400},
-		"no timeout":        {"look", func(r *http.Request) { r.Header.Del("Request-Timeout") }, 400},
-		"timeout NaN":       {"look", set("Request-Timeout", "NaN"), 400},
-		"timeout infinite":  {"look", set("Request-Timeout", "Inf"), 400},
-		"timeout below 0":   {"look", set("Request-Timeout", "-1"), 400},
-		"no terms":          {"look", set("X-Call-Terms", ""), 400},
-		"units NaN":         {"look", set("X-Call-Terms", "units=NaN,spread=2,first=1"), 400},
-		"units of none":     {"look", set("X-Call-Terms", "units=0,spread=2,first=1"), 400},
-		"too many units":    {"look", set("X-Call-Terms", "units=4,spread=2,first=1"), 400},
-		"units twice":       {"look", set("X-Call-Terms", "units=1,units=2,spread=2,first=1"), 400},
-		"spread too wide":   {"look", set("X-Call-Terms", "units=1,spread=3,first=1"), 400},
-		"first of none":     {"look", set("X-Call-Terms", "units=1,spread=2,first=2"), 400},
-		"half the terms":    {"look", set("X-Call-Terms", "units=1"), 400},
+		"GET with a body": {"look", func(r *http.Request) {
+			r.Body, r.ContentLength = io.NopCloser(strings.NewReader("x")), 1
+		}, 400},
+		"no idempotency key": {"pay", func(r *http.Request) { r.Header.Del("Idempotency-Key") }, 400},
+		"unknown plan":       {"look", set("X-Tier", "gold"), 400},
+		"customer too high":  {"look", set("X-Api-Key", "0000000200000000"), 400},
+		"customer not hex":   {"look", set("X-Api-Key", "-000000000000001"), 400},
+		"no timeout":         {"look", func(r *http.Request) { r.Header.Del("Request-Timeout") }, 400},
+		"timeout NaN":        {"look", set("Request-Timeout", "NaN"), 400},
+		"timeout infinite":   {"look", set("Request-Timeout", "Inf"), 400},
+		"timeout below 0":    {"look", set("Request-Timeout", "-1"), 400},
+		"no terms":           {"look", set("X-Call-Terms", ""), 400},
+		"units NaN":          {"look", set("X-Call-Terms", "units=NaN,spread=2,first=1"), 400},
+		"units 0":            {"look", set("X-Call-Terms", "units=0,spread=2,first=1"), 400},
+		"too many units":     {"look", set("X-Call-Terms", "units=4,spread=2,first=1"), 400},
+		"units twice":        {"look", set("X-Call-Terms", "units=1,units=2,spread=2,first=1"), 400},
+		"spread too large":   {"look", set("X-Call-Terms", "units=1,spread=3,first=1"), 400},
+		"first out of range": {"look", set("X-Call-Terms", "units=1,spread=2,first=2"), 400},
+		"missing terms":      {"look", set("X-Call-Terms", "units=1"), 400},
 		"body over 64 KiB": {"pay", func(r *http.Request) {
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBody+1))), maxBody+1
 		}, 413},
@@ -90,56 +94,66 @@
 		instance := startGateway(t, handler, "127.0.0.1:1")
 		nextEvent[gateway.BackendList](t, handler)
 		if res, _ := doRequest(t, instance.newRequest(t, test.class, test.change)); res.StatusCode != test.status {
-			t.Errorf("%s: %s, want %d", name, res.Status, test.status)
+			t.Errorf("%s: got %s, want %d", name, res.Status, test.status)
 		}
 		if len(handler.received) > 0 {
-			t.Errorf("%s: the gateway received %+v", name, <-handler.received)
+			t.Errorf("%s: the handler got %+v, want no event", name, <-handler.received)
 		}
 		instance.stop()
 	}
 }
 
+// A rejection must state its Retry-After in seconds. The Fail action that follows it must have no effect, as a request
+// has only one final response.
 func TestRejectionHasRetryAfter(t *testing.T) {
 	instance := startGateway(t, newScriptedHandler(func(event gateway.Event) []gateway.Action {
 		if request, ok := event.(gateway.Request); ok {
-			return []gateway.Action{gateway.Reject{Request: request.ID, RetryAfter: 250 * time.Millisecond}, gateway.Fail{Request: request.ID}}
+			return []gateway.Action{gateway.Reject{Request: request.ID, RetryAfter: 250 * time.Millisecond},
+				gateway.Fail{Request: request.ID}}
 		}
 		return nil
 	}))
 	res, _ := doRequest(t, instance.newRequest(t, "look", nil))
 	if res.StatusCode != 503 || res.Header.Get("Retry-After") != "0.250" {
-		t.Errorf("%s, Retry-After %q", res.Status, res.Header.Get("Retry-After"))
+		t.Errorf("got %s with Retry-After %q, want 503 with 0.250", res.Status, res.Header.Get("Retry-After"))
 	}
 }
 
-// Whatever the gateway does or does not do, a request has an answer before its client's time is up.
+// A request must be answered before its client's timeout even if the event handler takes no action on it.
 func TestRequestWithoutResponseGets504BeforeTimeout(t *testing.T) {
 	handler := newScriptedHandler(nil)
 	instance := startGateway(t, handler)
-	res, _ := doRequest(t, instance.newRequest(t, "look", func(r *http.Request) { r.Header.Set("Request-Timeout", "0.5") }))
+	res, _ := doRequest(t, instance.newRequest(t, "look", func(r *http.Request) {
+		r.Header.Set("Request-Timeout", "0.5")
+	}))
 	if res.StatusCode != http.StatusGatewayTimeout {
-		t.Errorf("%s, want the last moment's answer", res.Status)
+		t.Errorf("got %s, want 504", res.Status)
 	}
-	if req := nextEvent[gateway.Request](t, handler); req.Patience <= 0 || req.Patience > 500*time.Millisecond-gatewayMargin {
-		t.Errorf("the gateway was given %v", req.Patience)
+	if req := nextEvent[gateway.Request](t, handler); req.Patience <= 0 ||
+		req.Patience > 500*time.Millisecond-gatewayMargin {
+		t.Errorf("the handler got a timeout of %v, want one above 0 and at least gatewayMargin below 500ms",
+			req.Patience)
 	}
 	nextEvent[gateway.ClientGone](t, handler)
 }
 
-// A client that waits for a short time only is not left without any of it, and is still answered before its end.
+// The margins must leave most of a short timeout to the request, and still allow a response before its end.
 func TestMarginsOfShortTimeouts(t *testing.T) {
 	for _, test := range []struct{ timeout, forGateway, forResponse time.Duration }{
 		{2 * time.Second, gatewayMargin, responseMargin},
 		{80 * time.Millisecond, 10 * time.Millisecond, 5 * time.Millisecond},
 		{16 * time.Millisecond, 2 * time.Millisecond, time.Millisecond},
 	} {
-		if forGateway, forResponse := margins(test.timeout); forGateway != test.forGateway || forResponse != test.forResponse {
-			t.Errorf("of %v the margins are %v and %v, want %v and %v", test.timeout, forGateway, forResponse, test.forGateway, test.forResponse)
+		if forGateway, forResponse := margins(test.timeout); forGateway != test.forGateway ||
+			forResponse != test.forResponse {
+			t.Errorf("margins of a timeout of %v: got %v and %v, want %v and %v", test.timeout, forGateway, forResponse,
+				test.forGateway, test.forResponse)
 		}
 	}
 }
 
-// A client that closes its connection is gone: the gateway is notified, and the attempt it calls off is closed.
+// When a client disconnects, the event handler must be notified, and the attempt that it then cancels must be closed.
+// An attempt that is started afterwards must not be sent.
 func TestDisconnectionCancelsAttempt(t *testing.T) {
 	read, closed := make(chan bool, 1), make(chan bool, 1)
 	addr := startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -152,7 +166,8 @@
 		case gateway.Request:
 			return []gateway.Action{gateway.Send{Request: event.ID, Backend: 1}}
 		case gateway.ClientGone:
-			return []gateway.Action{gateway.Cancel{Request: event.Request, Attempt: 0}, gateway.Send{Request: event.Request, Backend: 1}}
+			return []gateway.Action{gateway.Cancel{Request: event.Request, Attempt: 0},
+				gateway.Send{Request: event.Request, Backend: 1}}
 		}
 		return nil
 	})
@@ -167,17 +182,19 @@
 	awaitSignal(t, read, "the attempt")
 	conn.Close()
 	nextEvent[gateway.ClientGone](t, handler)
-	if outcome := nextEvent[gateway.Outcome](t, handler); outcome.Attempt != 1 || outcome.Result != gateway.NotSent || !outcome.Final {
-		t.Errorf("a send after the end: %+v", outcome)
+	if outcome := nextEvent[gateway.Outcome](t, handler); outcome.Attempt != 1 || outcome.Result != gateway.NotSent ||
+		!outcome.Final {
+		t.Errorf("attempt after the disconnection: got %+v, want attempt 1, NotSent, final", outcome)
 	}
-	if outcome := nextEvent[gateway.Outcome](t, handler); outcome.Attempt != 0 || outcome.Result != gateway.Cancelled || !outcome.Final {
-		t.Errorf("the attempt ended as %+v", outcome)
+	if outcome := nextEvent[gateway.Outcome](t, handler); outcome.Attempt != 0 || outcome.Result != gateway.Cancelled ||
+		!outcome.Final {
+		t.Errorf("cancelled attempt: got %+v, want attempt 0, Cancelled, final", outcome)
 	}
 	awaitSignal(t, closed, "the backend's connection to be closed")
 }
 
-// A client that ends only its sending counts as gone too, but it may still read: what it reads must not look
-// like a served answer.
+// A client that closes only its sending side is considered disconnected, but it may still read. It must not read a
+// successful response.
 func TestHalfClosedClientGetsNoSuccessResponse(t *testing.T) {
 	handler := newScriptedHandler(nil)
 	instance := startGateway(t, handler)
@@ -195,17 +212,20 @@
 	}
 	nextEvent[gateway.ClientGone](t, handler)
 	if res, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil && res.StatusCode < 500 {
-		t.Errorf("it read %s", res.Status)
+		t.Errorf("the client got %s, want a status of at least 500, or none", res.Status)
 	}
 }
 
-// An id that is open already would leave the second request without an answer: the gateway passes over it.
+// A request with the ID of another one in progress must be rejected before it reaches the gateway, which ignores a
+// duplicate ID: the second request would get no response.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	handler := newScriptedHandler(nil)
 	instance := startGateway(t, handler)
 	first := make(chan int, 1)
 	go func() {
-		res, err := http.DefaultTransport.RoundTrip(instance.newRequest(t, "look", func(r *http.Request) { r.Header.Set("Request-Timeout", "1.5") }))
+		res, err := http.DefaultTransport.RoundTrip(instance.newRequest(t, "look", func(r *http.Request) {
+			r.Header.Set("Request-Timeout", "1.5")
+		}))
 		if err != nil {
 			t.Error(err)
 			first <- 0
@@ -216,25 +236,27 @@
 	}()
 	nextEvent[gateway.Request](t, handler)
 	if res, _ := doRequest(t, instance.newRequest(t, "look", nil)); res.StatusCode != 400 {
-		t.Errorf("the second of one id: %s", res.Status)
+		t.Errorf("second request with the ID: got %s, want 400", res.Status)
 	}
 	if got := <-first; got != http.StatusGatewayTimeout {
-		t.Errorf("the first: %d", got)
+		t.Errorf("first request with the ID: got %d, want 504", got)
 	}
 }
 
-// A body that is cut midway is no answer: the attempt has failed, and the client is notified.
+// A truncated response must count as a failed attempt, and the client must get an error without a part of the body.
 func TestTruncatedResponseIsNotServed(t *testing.T) {
 	instance := startGateway(t, nil, startRawBackend(t, func(_ int, conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 		conn.Close()
 	}))
-	if res, body := doRequest(t, instance.newRequest(t, "pay", nil)); res.StatusCode != http.StatusBadGateway || body != "" {
-		t.Errorf("%s %q", res.Status, body)
+	if res, body := doRequest(t, instance.newRequest(t, "pay", nil)); res.StatusCode != http.StatusBadGateway ||
+		body != "" {
+		t.Errorf("got %s with body %q, want 502 without a body", res.Status, body)
 	}
 }
 
-// After SIGTERM clients still come for a while, and what was taken must be answered before the end.
+// After SIGTERM new connections still arrive for a while. Requests that were accepted before or after it must be
+// answered before Server.Run returns.
 func TestGracefulShutdownLosesNoRequest(t *testing.T) {
 	respond, read := make(chan bool), make(chan bool, 2)
 	instance := startGateway(t, nil, startHTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -245,7 +267,9 @@
 	startRequest := func(id string) chan *http.Response {
 		response := make(chan *http.Response, 1)
 		go func() {
-			res, err := (&http.Transport{}).RoundTrip(instance.newRequest(t, "look", func(r *http.Request) { r.Header.Set("Request-Id", id) }))
+			res, err := (&http.Transport{}).RoundTrip(instance.newRequest(t, "look", func(r *http.Request) {
+				r.Header.Set("Request-Id", id)
+			}))
 			if err != nil {
 				t.Error(err)
 			} else {
@@ -259,16 +283,16 @@
 	awaitSignal(t, read, "the first request")
 	instance.stop()
 	late := startRequest("00000000000000a2") // on a new connection
-	awaitSignal(t, read, "the request that came after SIGTERM")
+	awaitSignal(t, read, "the request after SIGTERM")
 	select {
 	case err := <-instance.done:
-		t.Fatalf("ended with two requests open: %v", err)
+		t.Fatalf("Run returned %v with two requests in progress, want it to wait for them", err)
 	case <-time.After(drainMax + 100*time.Millisecond):
 	}
 	close(respond)
-	for name, response := range map[string]chan *http.Response{"held": early, "late": late} {
+	for name, response := range map[string]chan *http.Response{"early": early, "late": late} {
 		if res := <-response; res == nil || res.StatusCode != 200 || name == "late" && !res.Close {
-			t.Errorf("%s: %+v", name, res)
+			t.Errorf("%s request: got %+v, want 200, and for the late request Connection: close", name, res)
 		}
 	}
 	select {
@@ -277,6 +301,6 @@
 			t.Error(err)
 		}
 	case <-time.After(testTimeout):
-		t.Error("it never ended")
+		t.Error("Run did not return after both responses")
 	}
 }
--- a/internal/frontdoor/conns_test.go
+++ b/internal/frontdoor/conns_test.go
@@ -14,7 +14,7 @@
 	"herontiller/internal/gateway"
 )
 
-// dialAll opens connections to an instance.
+// dialConns opens count connections to addr. They are closed at the end of the test.
 func dialConns(t *testing.T, addr string, count int) []net.Conn {
 	t.Helper()
 	conns := make([]net.Conn, count)
@@ -29,18 +29,18 @@
 	return conns
 }
 
-// awaitEnd waits until the other side has closed a connection and gives what it said before.
+// readUntilClosed waits until the peer has closed a connection and returns the data received before that.
 func readUntilClosed(t *testing.T, conn net.Conn) string {
 	t.Helper()
 	conn.SetReadDeadline(time.Now().Add(testTimeout))
 	received, err := io.ReadAll(conn)
 	if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
-		t.Errorf("the connection was never closed; it said %q", received)
+		t.Errorf("the connection is still open after receiving %q, want it closed", received)
 	}
 	return string(received)
 }
 
-// startSmall starts an instance that lets clients have five connections.
+// startLimitedGateway starts a gateway that allows clients five connections.
 func startLimitedGateway(t *testing.T, handler eventHandler) (*testGateway, *Server) {
 	t.Helper()
 	config := newTestConfig(t)
@@ -57,8 +57,8 @@
 	return &testGateway{addr: listener.Addr().String(), loop: loop}, server
 }
 
-// Clients that connect and say nothing use up the descriptors, and then nobody is served. Past the bound the longest
-// silent is closed, and never one with a request open.
+// Clients that connect and send nothing could use up all file descriptors, and no client would be served. Beyond the
+// limit the longest idle connection must be closed, but never one with a request in progress.
 func TestIdleConnectionsAreClosedAtLimit(t *testing.T) {
 	handler := newScriptedHandler(nil)
 	instance, server := startLimitedGateway(t, handler)
@@ -70,20 +70,21 @@
 	id := nextEvent[gateway.Request](t, handler).ID
 	dialConns(t, instance.addr, 20)
 	server.connections.mu.Lock()
-	if n := len(server.connections.open); n > 6 { // one may just have come
-		t.Errorf("%d connections are open, 5 may be", n)
+	if n := len(server.connections.open); n > 6 { // one may have just been accepted
+		t.Errorf("got %d open connections, want at most 5, or 6 during an accept", n)
 	}
 	server.connections.mu.Unlock()
 	instance.loop.mu.Lock()
 	instance.loop.execute(gateway.Fail{Request: id})
 	instance.loop.mu.Unlock()
-	if res, err := http.ReadResponse(bufio.NewReader(busy), nil); err != nil || res.StatusCode != http.StatusBadGateway {
-		t.Errorf("the connection with a request open: %v, %v", res, err)
+	if res, err := http.ReadResponse(bufio.NewReader(busy), nil); err != nil ||
+		res.StatusCode != http.StatusBadGateway {
+		t.Errorf("connection with a request in progress: got %v, error %v; want 502", res, err)
 	}
 }
 
-// A request that comes in pieces has begun when its first piece has been read, though the server still takes its
-// connection for a silent one. Closing that to make room would lose the request, be it the connection's first or not.
+// A request may arrive in parts, and the HTTP server considers its connection idle until the head is complete. Closing
+// this connection at the limit would lose the request, whether it is the first of the connection or a later one.
 func TestConnectionWithPartialRequestIsNotClosed(t *testing.T) {
 	for name, earlierRequests := range map[string]int{"on a new connection": 0, "on an idle connection": 1} {
 		t.Run(name, func(t *testing.T) {
@@ -94,48 +95,50 @@
 				return nil
 			})
 			instance, server := startLimitedGateway(t, handler)
-			var text strings.Builder
-			if err := instance.newRequest(t, "look", nil).Write(&text); err != nil {
+			var requestText strings.Builder
+			if err := instance.newRequest(t, "look", nil).Write(&requestText); err != nil {
 				t.Fatal(err)
 			}
 			conn := dialConns(t, instance.addr, 1)[0]
 			reader := bufio.NewReader(conn)
 			expectResponse := func() {
 				t.Helper()
-				if res, err := http.ReadResponse(reader, nil); err != nil || res.StatusCode != http.StatusServiceUnavailable {
-					t.Fatalf("answered %v, %v", res, err)
+				if res, err := http.ReadResponse(reader, nil); err != nil ||
+					res.StatusCode != http.StatusServiceUnavailable {
+					t.Fatalf("got %v, error %v; want 503", res, err)
 				}
 			}
 			for range earlierRequests {
-				io.WriteString(conn, text.String())
+				io.WriteString(conn, requestText.String())
 				expectResponse()
 			}
-			idle := func(begun bool) bool { // the connection counts as silent, with or without something read
+			// isIdle reports whether the connection is listed as idle and requestBegun is as given.
+			isIdle := func(begun bool) bool {
 				server.connections.mu.Lock()
 				defer server.connections.mu.Unlock()
 				element := server.connections.idle.Front()
 				return element != nil && element.Value.(*clientConn).requestBegun.Load() == begun
 			}
-			for _, sendPiece := range []bool{false, true} {
-				if sendPiece {
-					io.WriteString(conn, text.String()[:40])
+			for _, sendFirstPart := range []bool{false, true} {
+				if sendFirstPart {
+					io.WriteString(conn, requestText.String()[:40])
 				}
-				for deadline := time.Now().Add(testTimeout); !idle(sendPiece); time.Sleep(time.Millisecond) {
+				for deadline := time.Now().Add(testTimeout); !isIdle(sendFirstPart); time.Sleep(time.Millisecond) {
 					if time.Now().After(deadline) {
-						t.Fatal("the piece was never read")
+						t.Fatal("the connection is not idle, or requestBegun doesn't show whether data was read")
 					}
 				}
 			}
 			for _, other := range dialConns(t, instance.addr, 6)[:2] {
-				readUntilClosed(t, other) // others make room
+				readUntilClosed(t, other) // idle connections without data are closed instead
 			}
-			io.WriteString(conn, text.String()[40:])
+			io.WriteString(conn, requestText.String()[40:])
 			expectResponse()
 		})
 	}
 }
 
-// The longest silent goes first, unless something has come on it that only is not read yet.
+// At the limit the longest idle connection must be closed, unless data has arrived on it that has not been read yet.
 func TestConnTableClosesLongestIdle(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -154,41 +157,46 @@
 		serverConns = append(serverConns, conn)
 	}
 	table.connStateChanged(serverConns[0], http.StateNew)
-	table.connStateChanged(serverConns[0], http.StateActive) // a request is open
+	table.connStateChanged(serverConns[0], http.StateActive) // a request is in progress
 	table.connStateChanged(serverConns[1], http.StateNew)
 	table.connStateChanged(serverConns[2], http.StateNew)
 	io.WriteString(clientConns[1], "G")
-	for deadline := time.Now().Add(testTimeout); peekSocket(serverConns[1]) != dataAvailable && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(testTimeout); peekSocket(serverConns[1]) != dataAvailable &&
+		time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	table.connStateChanged(serverConns[3], http.StateNew)
 	readUntilClosed(t, clientConns[2])
-	table.connStateChanged(serverConns[0], http.StateIdle) // the shortest silent now
+	table.connStateChanged(serverConns[0], http.StateIdle) // now the shortest idle
 	table.connStateChanged(serverConns[4], http.StateNew)
 	readUntilClosed(t, clientConns[3])
 }
 
-// Whoever sends no whole request must not hold a connection for long: it is owed an end within 3 s.
+// A client that doesn't send a complete request must not occupy a connection for long: the protocol requires that it is
+// answered or closed within 3 s.
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	head := "POST /pay HTTP/1.1\r\nHost: h\r\nRequest-Id: 9b1f03aa5c7e2d41\r\nRequest-Class: pay\r\nX-Tier: basic\r\n" +
-		"X-Api-Key: 00000000b4d65521\r\nRequest-Timeout: 20\r\nIdempotency-Key: k\r\nX-Call-Terms: units=1,spread=2,first=1\r\n"
+		"X-Api-Key: 00000000b4d65521\r\nRequest-Timeout: 20\r\nIdempotency-Key: k\r\n" +
+		"X-Call-Terms: units=1,spread=2,first=1\r\n"
 	handler := newScriptedHandler(nil)
 	instance := startGateway(t, handler)
 	nextEvent[gateway.BackendList](t, handler)
 	ended := make(chan string)
 	for name, text := range map[string]string{
-		"silent":       "",
-		"half a head":  head,
-		"half a body":  head + "Content-Length: 9\r\n\r\nhalf",
-		"a large body": head + "Content-Length: 60000000\r\n\r\nhalf",
+		"no data":      "",
+		"partial head": head,
+		"partial body": head + "Content-Length: 9\r\n\r\nhalf",
+		"large body":   head + "Content-Length: 60000000\r\n\r\nhalf",
 	} {
 		conn := dialConns(t, instance.addr, 1)[0]
 		io.WriteString(conn, text)
 		go func() {
 			start := time.Now()
 			received := readUntilClosed(t, conn)
-			if took := time.Since(start); took > 2900*time.Millisecond || received != "" && !strings.HasPrefix(received, "HTTP/1.1 4") {
-				t.Errorf("%s: after %v %q", name, took, received)
+			if took := time.Since(start); took > 2900*time.Millisecond ||
+				received != "" && !strings.HasPrefix(received, "HTTP/1.1 4") {
+				t.Errorf("%s: got %q and the end after %v, want no data or a 4xx status within 2.9s", name, received,
+					took)
 			}
 			ended <- name
 		}()
@@ -197,31 +205,32 @@
 		<-ended
 	}
 	if len(handler.received) > 0 {
-		t.Errorf("the gateway received %+v", <-handler.received)
+		t.Errorf("the handler got %+v, want no event", <-handler.received)
 	}
 }
 
-// A request that can be framed in two ways may hide another in its body. The server drops one of the two headers
-// before a handler sees them, so the one left must be enough to turn it away.
+// A request with both a Content-Length and a Transfer-Encoding may hide another request in its body. The HTTP server
+// drops one of the two headers before its handler is called, so the remaining one must be sufficient to reject it.
 func TestAmbiguousFramingIsRejected(t *testing.T) {
 	handler := newScriptedHandler(nil)
 	instance := startGateway(t, handler)
 	nextEvent[gateway.BackendList](t, handler)
 	for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
 		conn := dialConns(t, instance.addr, 1)[0]
-		io.WriteString(conn, "POST /pay "+proto+"\r\nHost: h\r\nRequest-Id: 9b1f03aa5c7e2d41\r\nRequest-Class: pay\r\nX-Tier: basic\r\n"+
-			"X-Api-Key: 00000000b4d65521\r\nRequest-Timeout: 20\r\nIdempotency-Key: k\r\nX-Call-Terms: units=1,spread=2,first=1\r\n"+
-			"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
+		io.WriteString(conn, "POST /pay "+proto+
+			"\r\nHost: h\r\nRequest-Id: 9b1f03aa5c7e2d41\r\nRequest-Class: pay\r\nX-Tier: basic\r\n"+
+			"X-Api-Key: 00000000b4d65521\r\nRequest-Timeout: 20\r\nIdempotency-Key: k\r\nX-Call-Terms: "+
+			"units=1,spread=2,first=1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
 		if received := readUntilClosed(t, conn); !strings.Contains(received, " 400 ") {
-			t.Errorf("%s: %q", proto, received)
+			t.Errorf("%s: got %q, want status 400", proto, received)
 		}
 	}
 	if len(handler.received) > 0 {
-		t.Errorf("the gateway received %+v", <-handler.received)
+		t.Errorf("the handler got %+v, want no event", <-handler.received)
 	}
 }
 
-// What is on a connection shows without being taken from it.
+// peekSocket must report available data and a close by the peer without consuming the data.
 func TestPeekSocket(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -248,6 +257,6 @@
 	}
 	got = append(got, peekSocket(serverSide))
 	if want := []socketState{noData, dataAvailable, dataAvailable, peerClosed}; !slices.Equal(got, want) {
-		t.Errorf("seen %v, want %v", got, want)
+		t.Errorf("got states %v, want %v", got, want)
 	}
 }
--- a/internal/frontdoor/frontdoor_test.go
+++ b/internal/frontdoor/frontdoor_test.go
@@ -15,15 +15,17 @@
 	"herontiller/internal/gateway"
 )
 
-// patient is how long a test waits for something that must happen: it fails then, and only then.
+// testTimeout is how long a test waits for an event that must happen before it fails.
 const testTimeout = 20 * time.Second
 
+// testConfigJSON is the configuration of the tests: two classes, one safe and one keyed, and two plans.
 const testConfigJSON = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "known":{"seq":41,"whole":true,"hosts":[]},
  "settings":{"balancers":2,"me":0,
   "lanes":[{"name":"look","effect":"retryable","goal_time_us":20000000,"deadline_us":60000000,"gain":1},
-   {"name":"pay","effect":"dedup","group":"cell","key_ttl_us":5000000,"goal_time_us":20000000,"deadline_us":60000000,"gain":5}],
+   {"name":"pay","effect":"dedup","group":"cell","key_ttl_us":5000000,
+    "goal_time_us":20000000,"deadline_us":60000000,"gain":5}],
   "tariffs":[{"name":"basic","units_per_s":1000,"burst":1000,"value_factor":1},
    {"name":"tiny","units_per_s":0.5,"burst":1,"value_factor":1}],
   "family_info":{"meter_period_us":500000,"largest":3},
@@ -32,6 +34,7 @@
   "stats":{"columns":["depth","tps"],"how":"answers"},
   "obligations":{"cold_from":0.2,"warm_within_us":1000000,"fall_multiple":4,"fall_us":1000000}}}`
 
+// newTestConfig returns the parsed testConfigJSON.
 func newTestConfig(t testing.TB) Config {
 	t.Helper()
 	config, err := parseConfig([]byte(testConfigJSON))
@@ -41,22 +44,26 @@
 	return config
 }
 
+// readyList returns a full list with one ready backend for each address.
 func readyList(addrs ...string) EndpointList {
 	list := EndpointList{Version: 42, Full: true}
 	for i, addr := range addrs {
-		list.Endpoints = append(list.Endpoints, Endpoint{Host: fmt.Sprintf("s-%d", i), Address: addr, State: "Ready", Weight: 1})
+		list.Endpoints = append(list.Endpoints,
+			Endpoint{Host: fmt.Sprintf("s-%d", i), Address: addr, State: "Ready", Weight: 1})
 	}
 	return list
 }
 
-// testInstance is an instance that serves on a port of the system's choosing.
+// testGateway is a gateway started by a test. It receives requests at addr.
 type testGateway struct {
 	addr string
 	loop *Loop
 	stop context.CancelFunc
-	done chan error
+	done chan error // receives the result of Server.Run
 }
 
+// startGateway starts a gateway on a free port, with a full list of ready backends at addrs. If handler is not nil, it
+// replaces the gateway's event handler.
 func startGateway(t testing.TB, handler eventHandler, addrs ...string) *testGateway {
 	t.Helper()
 	config := newTestConfig(t)
@@ -80,7 +87,7 @@
 	return instance
 }
 
-// newRequest builds a good request; change alters it.
+// newRequest returns a valid request of a class, which change may modify.
 func (g *testGateway) newRequest(t testing.TB, class string, change func(*http.Request)) *http.Request {
 	t.Helper()
 	method, body := http.MethodGet, io.Reader(nil)
@@ -91,8 +98,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, value := range map[string]string{"Request-Id": "9b1f03aa5c7e2d41", "Request-Class": class, "X-Tier": "basic",
-		"X-Api-Key": "00000000b4d65521", "Request-Timeout": "20.5", "X-Call-Terms": "units=2,spread=2,first=1"} {
+	for name, value := range map[string]string{"Request-Id": "9b1f03aa5c7e2d41", "Request-Class": class,
+		"X-Tier": "basic", "X-Api-Key": "00000000b4d65521", "Request-Timeout": "20.5",
+		"X-Call-Terms": "units=2,spread=2,first=1"} {
 		req.Header.Set(name, value)
 	}
 	if class == "pay" {
@@ -104,6 +112,7 @@
 	return req
 }
 
+// doRequest sends a request on a new connection and returns the response and its body.
 func doRequest(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
 	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
@@ -120,6 +129,7 @@
 	return res, string(body)
 }
 
+// startHTTPServer starts an HTTP server, such as a backend, and returns its address.
 func startHTTPServer(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -127,7 +137,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// raw is a backend on bare connections: it reads whole requests and hands each to answer, with its number.
+// startRawBackend starts a backend that reads complete requests and calls respond for each of them, with the number of
+// the request, from 1, and its connection. It returns the backend's address.
 func startRawBackend(t *testing.T, respond func(n int, conn net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -170,10 +181,10 @@
 	return listener.Addr().String()
 }
 
-// scripted is a gateway that acts by its script and records the events it receives.
+// scriptedHandler is an event handler that records the events it receives and returns the actions of actionsFor.
 type scriptedHandler struct {
 	received   chan gateway.Event
-	actionsFor func(gateway.Event) []gateway.Action
+	actionsFor func(gateway.Event) []gateway.Action // may be nil
 }
 
 func (s *scriptedHandler) Handle(_ time.Duration, event gateway.Event, actions []gateway.Action) []gateway.Action {
@@ -188,7 +199,7 @@
 	return &scriptedHandler{received: make(chan gateway.Event, 100), actionsFor: actionsFor}
 }
 
-// next is the next event of a type.
+// nextEvent waits for the next event of type E and returns it. It discards events of other types.
 func nextEvent[E gateway.Event](t testing.TB, handler *scriptedHandler) E {
 	t.Helper()
 	timeout := time.After(testTimeout)
@@ -199,12 +210,12 @@
 				return typed
 			}
 		case <-timeout:
-			t.Fatalf("no %T was received", *new(E))
+			t.Fatalf("received no %T, want one", *new(E))
 		}
 	}
 }
 
-// serveInstance starts an instance on a listener of the test's.
+// startGatewayOn starts a gateway with the given event handler on a listener that the test provides.
 func startGatewayOn(t *testing.T, handler eventHandler, listener net.Listener, addrs ...string) *testGateway {
 	t.Helper()
 	config := newTestConfig(t)
@@ -218,6 +229,7 @@
 	return instance
 }
 
+// listenTCP returns a listener on a free port.
 func listenTCP(t *testing.T) *net.TCPListener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -228,17 +240,19 @@
 	return listener.(*net.TCPListener)
 }
 
-// text is a good request as it stands on the wire.
+// requestText returns a valid request with the given ID in HTTP/1.1 format.
 func (g *testGateway) requestText(t *testing.T, class, id string) string {
 	t.Helper()
 	var text strings.Builder
-	if err := g.newRequest(t, class, func(r *http.Request) { r.Header.Set("Request-Id", id) }).Write(&text); err != nil {
+	if err := g.newRequest(t, class, func(r *http.Request) {
+		r.Header.Set("Request-Id", id)
+	}).Write(&text); err != nil {
 		t.Fatal(err)
 	}
 	return text.String()
 }
 
-// refuseAll refuses every request at once.
+// rejectAll rejects every request immediately.
 func rejectAll(event gateway.Event) []gateway.Action {
 	if request, ok := event.(gateway.Request); ok {
 		return []gateway.Action{gateway.Reject{Request: request.ID}}
@@ -246,7 +260,8 @@
 	return nil
 }
 
-// leaving is how a client goes: by a close, which its machine tells as a reset if data is left unread.
+// disconnectMethods are the ways in which a client may disconnect. A close with unread data arrives at the gateway as a
+// reset.
 var disconnectMethods = map[string]func(net.Conn){
 	"closes": func(c net.Conn) { c.Close() },
 	"resets": func(c net.Conn) {
--- a/internal/frontdoor/races_test.go
+++ b/internal/frontdoor/races_test.go
@@ -16,37 +16,38 @@
 	"herontiller/internal/gateway"
 )
 
-// The tests of this file make two events cross in the order that does harm, every time.
+// The tests in this file force races: two events on one connection happen in the order that causes a failure.
 
-// A client that sends a second request behind the first and then disconnects has given up both: the first ends, the
-// second is not begun. The server's own watch for its disconnecting ends with the first byte of the second request.
+// If a client pipelines a second request and then disconnects, the first request must end and the second must not be
+// started. The HTTP server's own detection of disconnections stops at the first byte of the second request.
 func TestDisconnectionAfterPipelinedRequest(t *testing.T) {
 	for method, disconnect := range disconnectMethods {
-		for timing, together := range map[string]bool{"in one piece": true, "behind": false} {
+		for timing, together := range map[string]bool{"in one write": true, "in two writes": false} {
 			t.Run(method+" "+timing, func(t *testing.T) {
 				handler := newScriptedHandler(nil)
 				instance := startGateway(t, handler)
 				conn := dialConns(t, instance.addr, 1)[0]
-				first, second := instance.requestText(t, "look", "00000000000000a1"), instance.requestText(t, "pay", "00000000000000a2")
+				first, second := instance.requestText(t, "look", "00000000000000a1"),
+					instance.requestText(t, "pay", "00000000000000a2")
 				if together {
 					first, second = first+second, ""
 				}
 				io.WriteString(conn, first)
 				if id := nextEvent[gateway.Request](t, handler).ID; id != 0xa1 {
-					t.Fatalf("the gateway was notified of %x first", id)
+					t.Fatalf("first request of the handler: got ID %x, want a1", id)
 				}
 				io.WriteString(conn, second)
 				disconnect(conn)
 				if gone := nextEvent[gateway.ClientGone](t, handler); gone.Request != 0xa1 {
-					t.Errorf("%x is gone", gone.Request)
+					t.Errorf("disconnection: got request %x, want a1", gone.Request)
 				}
 				instance.stop()
-				if err := <-instance.done; err != nil { // from here on nothing can come of the connection any more
+				if err := <-instance.done; err != nil { // from now on no event can result from the connection
 					t.Error(err)
 				}
 				for len(handler.received) > 0 {
 					if request, ok := (<-handler.received).(gateway.Request); ok {
-						t.Errorf("request %x was begun after its client had disconnected", request.ID)
+						t.Errorf("the handler got request %x after its client had disconnected, want none", request.ID)
 					}
 				}
 			})
@@ -54,7 +55,7 @@
 	}
 }
 
-// What is sent ahead of a response by a client that stays is served next, in its order.
+// Pipelined requests of a client that stays connected must be served one after another, in their order.
 func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
 	respond := make(chan bool, 1)
 	read := make(chan bool, 3)
@@ -67,7 +68,8 @@
 	conn := dialConns(t, instance.addr, 1)[0]
 	io.WriteString(conn, instance.requestText(t, "look", "00000000000000a1"))
 	awaitSignal(t, read, "the first attempt")
-	io.WriteString(conn, instance.requestText(t, "pay", "00000000000000a2")+instance.requestText(t, "look", "00000000000000a3")[:60])
+	io.WriteString(conn, instance.requestText(t, "pay", "00000000000000a2")+
+		instance.requestText(t, "look", "00000000000000a3")[:60])
 	io.WriteString(conn, instance.requestText(t, "look", "00000000000000a3")[60:])
 	close(respond)
 	reader := bufio.NewReader(conn)
@@ -77,12 +79,12 @@
 			t.Fatal(err)
 		}
 		if body, err := io.ReadAll(res.Body); err != nil || string(body) != want {
-			t.Errorf("%s %q, %v; want %q", res.Status, body, err, want)
+			t.Errorf("got %s with body %q, error %v; want body %q", res.Status, body, err, want)
 		}
 	}
 }
 
-// What a client may send ahead is bounded: more ends its request and its connection.
+// If a client sends more than maxReadAhead before the response, its request must end and its connection be closed.
 func TestReadAheadIsLimited(t *testing.T) {
 	handler := newScriptedHandler(nil)
 	instance := startGateway(t, handler)
@@ -94,7 +96,8 @@
 	readUntilClosed(t, conn)
 }
 
-// held is a listener that gives out connections only once somebody has ended it, be it by a deadline or a close.
+// delayedAcceptListener returns no connections until its deadline is set or it is closed, so that they stay in the
+// backlog.
 type delayedAcceptListener struct {
 	*net.TCPListener
 	unblockOnce sync.Once
@@ -116,9 +119,10 @@
 	return l.TCPListener.Close()
 }
 
-// Connections that the system has accepted, and nobody has taken when the listening ends, are served.
+// Connections that are in the kernel's backlog when the gateway stops listening must be served.
 func TestShutdownServesBacklog(t *testing.T) {
-	instance := startGatewayOn(t, newScriptedHandler(rejectAll), &delayedAcceptListener{TCPListener: listenTCP(t), unblock: make(chan bool)})
+	instance := startGatewayOn(t, newScriptedHandler(rejectAll),
+		&delayedAcceptListener{TCPListener: listenTCP(t), unblock: make(chan bool)})
 	conns := dialConns(t, instance.addr, 3)
 	for i, conn := range conns {
 		io.WriteString(conn, instance.requestText(t, "look", fmt.Sprintf("00000000000000a%d", i)))
@@ -126,8 +130,9 @@
 	instance.stop()
 	for _, conn := range conns {
 		conn.SetReadDeadline(time.Now().Add(testTimeout))
-		if res, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || res.StatusCode != 503 || !res.Close {
-			t.Errorf("answered %v, %v", res, err)
+		if res, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || res.StatusCode != 503 ||
+			!res.Close {
+			t.Errorf("got %v, error %v; want 503 with Connection: close", res, err)
 		}
 	}
 	if err := <-instance.done; err != nil {
@@ -135,16 +140,17 @@
 	}
 }
 
-// slowReads gives out connections whose reads of requests wait, once the test says so, until somebody looks at what has
-// come on the connection, or closes it: whatever comes before is there and not read. Requests are read into a buffer of
-// the server's; shorter reads are those that watch for the client's disconnecting.
+// delayedReadListener accepts connections whose reads of requests can be delayed: once delaying is closed, they block
+// until a connection is peeked at or closed. Data that arrives before that stays unread in the socket.
 type delayedReadListener struct {
 	*net.TCPListener
-	delaying      chan bool // closed: from now on
-	inspected     chan bool
+	delaying      chan bool // closed by the test to delay all later reads
+	inspected     chan bool // closed when a connection is peeked at or closed
 	inspectedOnce sync.Once
 }
 
+// delayedReadConn is a connection of a delayedReadListener. It delays the reads with the HTTP server's large buffer,
+// but not the shorter reads that detect a disconnection.
 type delayedReadConn struct {
 	net.Conn
 	listener *delayedReadListener
@@ -178,14 +184,14 @@
 	return c.Conn.(*net.TCPConn).SyscallConn()
 }
 
-// A request that has come on a pooled connection, and is not read yet, when the idle connections are closed at the end
-// is served.
+// A request that has arrived on an idle connection, but has not been read when the graceful shutdown closes the idle
+// connections, must be served.
 func TestShutdownServesRequestOnIdleConnection(t *testing.T) {
 	listener := &delayedReadListener{TCPListener: listenTCP(t), delaying: make(chan bool), inspected: make(chan bool)}
 	handler := newScriptedHandler(func(event gateway.Event) []gateway.Action {
 		if request, ok := event.(gateway.Request); ok {
 			if request.ID == 0xa1 {
-				close(listener.delaying) // all reads after this request's own
+				close(listener.delaying) // delays all reads after this request
 			}
 			return []gateway.Action{gateway.Reject{Request: request.ID}}
 		}
@@ -201,7 +207,7 @@
 			instance.stop()
 		}
 		if res, err := http.ReadResponse(reader, nil); err != nil || res.StatusCode != 503 || res.Close != (i == 1) {
-			t.Fatalf("answered %v, %v", res, err)
+			t.Fatalf("got %v, error %v; want 503, with Connection: close only for the second request", res, err)
 		}
 	}
 	if err := <-instance.done; err != nil {
@@ -209,7 +215,8 @@
 	}
 }
 
-// What comes when the platform may kill the process at any moment is refused at once, on its connection's last answer.
+// A request that arrives after the time at which the platform may kill the process must be rejected immediately, and
+// its connection closed.
 func TestRequestAfterKillTimeIsRejected(t *testing.T) {
 	config := newTestConfig(t)
 	loop, err := NewLoop(config, NewBackends(config))
@@ -217,18 +224,20 @@
 		t.Fatal(err)
 	}
 	loop.Update(readyList(startRawBackend(t, func(_ int, conn net.Conn) { io.WriteString(conn, okResponse) })))
-	frontServer := NewServer(config, loop)
+	server := NewServer(config, loop)
 	killTime := time.Now().Add(-time.Second)
-	frontServer.killTime.Store(&killTime)
-	httpServer := httptest.NewServer(frontServer)
+	server.killTime.Store(&killTime)
+	httpServer := httptest.NewServer(server)
 	defer httpServer.Close()
 	instance := &testGateway{addr: strings.TrimPrefix(httpServer.URL, "http://")}
-	if res, _ := doRequest(t, instance.newRequest(t, "pay", nil)); res.StatusCode != http.StatusServiceUnavailable || !res.Close {
-		t.Errorf("%s, close %v", res.Status, res.Close)
+	if res, _ := doRequest(t, instance.newRequest(t, "pay", nil)); res.StatusCode != http.StatusServiceUnavailable ||
+		!res.Close {
+		t.Errorf("got %s, close %v; want 503, close true", res.Status, res.Close)
 	}
 }
 
-// A request that has come in the same moment as the time for idling is over is read, not closed upon.
+// A request that arrives at the moment of the idle timeout must be read instead of closing the connection. The idle
+// timeout must still apply without data, and the read timeout to a request that takes too long.
 func TestRequestAtIdleTimeoutIsRead(t *testing.T) {
 	listener := listenTCP(t)
 	clientSide := dialConns(t, listener.Addr().String(), 1)[0]
@@ -241,21 +250,21 @@
 	serverSide.SetReadDeadline(time.Unix(1, 0))
 	var buf [16]byte
 	if n, err := serverSide.Read(buf[:]); err == nil {
-		t.Errorf("with nothing there: %d bytes", n)
+		t.Errorf("without data: got %d bytes, want a timeout", n)
 	}
 	io.WriteString(clientSide, "GET /look")
 	for deadline := time.Now().Add(testTimeout); peekSocket(accepted) != dataAvailable; {
 		if time.Now().After(deadline) {
-			t.Fatal("nothing came")
+			t.Fatal("the data has not arrived at the gateway's socket")
 		}
 	}
 	serverSide.SetReadDeadline(time.Unix(1, 0))
 	if n, err := serverSide.Read(buf[:]); err != nil || string(buf[:n]) != "GET /look" {
-		t.Errorf("%q, %v", buf[:n], err)
+		t.Errorf("got %q, error %v; want \"GET /look\"", buf[:n], err)
 	}
 	serverSide.SetReadDeadline(time.Unix(1, 0))
 	io.WriteString(clientSide, "more of it")
 	if n, err := serverSide.Read(buf[:]); err == nil {
-		t.Errorf("of a request that takes too long: %d bytes", n)
+		t.Errorf("request that takes too long: got %d bytes, want a timeout", n)
 	}
 }
