--- a/internal/frontdoor/backends_failure_test.go
+++ b/internal/frontdoor/backends_failure_test.go
@@ -12,179 +12,185 @@
 	"herontiller/internal/gateway"
 )
 
-// What comes behind an answer would be read as the answer to the next request on the connection, and a client would
-// be served what was made for another.
-func TestAnUncleanConnectionIsNotUsedAgain(t *testing.T) {
-	for name, surplus := range map[string]string{"second copy": okReply, "noise": "\xb1`bS]1"} {
-		for _, late := range []bool{false, true} {
+// Data after a response would be read as the response to the next request on the connection, and a client would receive
+// the response to another request. So such a connection must not be reused.
+func TestConnectionWithSurplusDataIsNotReused(t *testing.T) {
+	for name, surplus := range map[string]string{"second response": okResponse, "garbage": "\xb1`bS]1"} {
+		for _, delayed := range []bool{false, true} {
 			conns := map[net.Conn]bool{}
-			addr := raw(t, func(n int, conn net.Conn) {
+			addr := startRawBackend(t, func(n int, conn net.Conn) {
 				conns[conn] = true
-				if late {
-					io.WriteString(conn, okReply)
+				if delayed {
+					io.WriteString(conn, okResponse)
 					time.Sleep(reuseCooldown / 2)
 					io.WriteString(conn, surplus)
 				} else {
-					io.WriteString(conn, okReply+surplus)
+					io.WriteString(conn, okResponse+surplus)
 				}
 			})
-			b, id := attempts(t, addr)
+			backends, id := newTestBackends(t, addr)
 			for range 3 {
-				if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.Answered || string(r.body) != "ok" {
-					t.Errorf("%s: %v %q", name, r.result, r.body)
+				if got := backends.send(t.Context(), t.Context(), id, lookRequest); got.result != gateway.Answered ||
+					string(got.body) != "ok" {
+					t.Errorf("%s: got %v with body %q, want Answered with \"ok\"", name, got.result, got.body)
 				}
 				time.Sleep(2 * reuseCooldown)
 			}
 			if len(conns) != 3 {
-				t.Errorf("%s: 3 requests on %d connections", name, len(conns))
+				t.Errorf("%s: got %d connections for 3 requests, want 3", name, len(conns))
 			}
 		}
 	}
 }
 
-// One malformed response closes its own connection only: the others are as good as before.
-func TestAMalformedResponseSparesOtherConnections(t *testing.T) {
-	goOn, both := make(chan bool), make(chan bool, 2)
-	addr := raw(t, func(n int, conn net.Conn) {
-		if n <= 2 {
-			both <- true
-			<-goOn
+// A malformed response must close only its own connection; the other connections remain usable.
+func TestMalformedResponseClosesOnlyItsConnection(t *testing.T) {
+	respond, received := make(chan bool), make(chan bool, 2)
+	addr := startRawBackend(t, func(number int, conn net.Conn) {
+		if number <= 2 {
+			received <- true
+			<-respond
 		}
-		if n == 3 {
+		if number == 3 {
 			io.WriteString(conn, "noise\r\n\r\n")
 		} else {
-			io.WriteString(conn, okReply)
+			io.WriteString(conn, okResponse)
 		}
 	})
-	b, id := attempts(t, addr)
+	backends, id := newTestBackends(t, addr)
 	done := make(chan bool, 2)
 	for range 2 {
-		go func() { b.send(t.Context(), t.Context(), id, lookMessage); done <- true }()
-		await(t, both, "two requests at once")
+		go func() { backends.send(t.Context(), t.Context(), id, lookRequest); done <- true }()
+		awaitSignal(t, received, "two concurrent requests")
 	}
-	close(goOn)
-	await(t, done, "the first answer")
-	await(t, done, "the second answer")
+	close(respond)
+	awaitSignal(t, done, "the first response")
+	awaitSignal(t, done, "the second response")
 	time.Sleep(2 * reuseCooldown)
-	if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.Unknown {
-		t.Errorf("a spoilt answer ended as %v", r.result)
+	if outcome := backends.send(t.Context(), t.Context(), id, lookRequest); outcome.result != gateway.Unknown {
+		t.Errorf("attempt with a malformed response: got %v, want Unknown", outcome.result)
 	}
-	b.pool.mu.Lock()
-	defer b.pool.mu.Unlock()
-	if b.pool.openCount != 1 || b.pool.idleConns.Len() != 1 {
-		t.Errorf("%d connections, %d idle, want the one that was not spoilt", b.pool.openCount, b.pool.idleConns.Len())
+	backends.pool.mu.Lock()
+	defer backends.pool.mu.Unlock()
+	if backends.pool.openCount != 1 || backends.pool.idleConns.Len() != 1 {
+		t.Errorf("got %d connections, %d of them idle; want only the other one, idle", backends.pool.openCount,
+			backends.pool.idleConns.Len())
 	}
 }
 
-// Backends are replaced all day long: nothing may be kept of one that is gone, and none that comes at its address may
-// be sent anything on its connections, nor bear its id.
-func TestGoneBackendsAreForgotten(t *testing.T) {
+// Backends are replaced all the time. No state of a backend that is gone may be kept, and a new backend at its address
+// must neither receive requests on its connections nor get its ID.
+func TestGoneBackendsAreRemoved(t *testing.T) {
 	conns := map[net.Conn]bool{}
-	addr := raw(t, func(_ int, conn net.Conn) { conns[conn] = true; io.WriteString(conn, okReply) })
-	b := NewBackends(config(t))
+	addr := startRawBackend(t, func(_ int, conn net.Conn) { conns[conn] = true; io.WriteString(conn, okResponse) })
+	backends := NewBackends(newTestConfig(t))
 	ids := map[gateway.BackendID]bool{}
 	for i := range 20 {
 		list := EndpointList{Endpoints: []Endpoint{{Host: "s-" + string(rune('a'+i)), Address: addr, State: "Ready"}}}
-		id := b.update(list, clock{time.Now()})[0].ID
+		id := backends.update(list, clock{time.Now()})[0].ID
 		ids[id] = true
-		if r := b.send(t.Context(), t.Context(), id, lookMessage); r.result != gateway.Answered {
-			t.Fatal(r.result)
+		if outcome := backends.send(t.Context(), t.Context(), id, lookRequest); outcome.result != gateway.Answered {
+			t.Fatal(outcome.result)
 		}
-		if i > 0 { // the next one is there before the last is gone
+		if i > 0 { // a new backend is listed before the previous one is gone
 			list.Endpoints[0].Host, list.Endpoints[0].State = "s-"+string(rune('a'+i-1)), "Gone"
-			b.update(list, clock{time.Now()})
+			backends.update(list, clock{time.Now()})
 		}
 	}
 	if len(ids) != 20 || len(conns) != 20 {
-		t.Errorf("20 backends had %d ids and %d connections", len(ids), len(conns))
+		t.Errorf("got %d IDs and %d connections for 20 backends, want 20 each", len(ids), len(conns))
 	}
-	if len(b.byHost) != 1 || len(b.byID) != 1 || b.pool.openCount != 1 || b.pool.idleConns.Len() != 1 {
-		t.Errorf("held: %d hosts, %d ids, %d connections", len(b.byHost), len(b.byID), b.pool.openCount)
+	if len(backends.byHost) != 1 || len(backends.byID) != 1 || backends.pool.openCount != 1 ||
+		backends.pool.idleConns.Len() != 1 {
+		t.Errorf("got %d hosts, %d IDs and %d connections at the end, want 1 each and the connection idle",
+			len(backends.byHost), len(backends.byID), backends.pool.openCount)
 	}
 }
 
-// A connection that has gone silent takes a request and never answers, while its backend serves all others at once.
-// The request must be served by another backend long before its client gives up, the silent connection closed, and
-// what is keyed must not leave the cell that drops its repeats.
-func TestARequestOnASilentConnectionIsServedElsewhere(t *testing.T) {
-	for name, c := range map[string]struct {
-		class  string
-		block  int // of the second backend; the first one's is 0
-		served bool
+// A hung connection accepts a request and never delivers a response, while its backend responds immediately on all
+// other connections. The request must be served by another backend long before the client's timeout, and the hung
+// connection closed. A keyed request must not leave its cell, as only there are its duplicates detected.
+func TestRequestOnHungConnectionIsRetriedElsewhere(t *testing.T) {
+	for name, test := range map[string]struct {
+		class      string
+		cell       int // of the second backend; the first one is in cell 0
+		wantServed bool
 	}{
-		"safe":                  {"look", 1, true},
-		"keyed, in the cell":    {"pay", 0, true},
-		"keyed, no other there": {"pay", 1, false},
+		"safe":              {"look", 1, true},
+		"keyed, same cell":  {"pay", 0, true},
+		"keyed, other cell": {"pay", 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var silent atomic.Bool
-			var requested atomic.Int64 // attempts since then
+			var hang atomic.Bool
+			var attempts atomic.Int64 // since hang was set; only the first one hangs
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				io.Copy(io.Discard, r.Body)
-				if silent.Load() && requested.Add(1) == 1 {
+				if hang.Load() && attempts.Add(1) == 1 {
 					<-r.Context().Done()
 					return
 				}
 				io.WriteString(w, "ok")
 			}
-			list := ready(serve(t, handler), serve(t, handler))
-			list.Endpoints[1].Cell = c.block
-			d := startInstance(t, nil)
-			d.loop.Update(list)
-			ask := func(id int, timeout string) (*http.Response, string) {
-				return do(t, d.newRequest(t, c.class, func(r *http.Request) {
+			list := readyList(startHTTPServer(t, handler), startHTTPServer(t, handler))
+			list.Endpoints[1].Cell = test.cell
+			instance := startGateway(t, nil)
+			instance.loop.Update(list)
+			send := func(id int, timeout string) (*http.Response, string) {
+				return doRequest(t, instance.newRequest(t, test.class, func(r *http.Request) {
 					r.Header.Set("Request-Id", fmt.Sprintf("%016x", id))
 					r.Header.Set("Request-Timeout", timeout)
 				}))
 			}
-			for id := range 200 { // so that the gateway knows how long an answer takes
-				if res, _ := ask(id, "20.5"); res.StatusCode != http.StatusOK {
-					t.Fatalf("an ordinary request was answered %d", res.StatusCode)
+			for id := range 200 { // so that the gateway learns the usual latency
+				if res, _ := send(id, "20.5"); res.StatusCode != http.StatusOK {
+					t.Fatalf("request before the hang: got %d, want 200", res.StatusCode)
 				}
 			}
-			silent.Store(true)
-			timeout := "3600" // cut to the class's deadline, which is longer than the test's patience
-			if !c.served {
+			hang.Store(true)
+			timeout := "3600" // limited to the class's deadline, which is longer than testTimeout
+			if !test.wantServed {
 				timeout = "3"
 			}
-			res, body := ask(1000, timeout)
-			if got := res.StatusCode == http.StatusOK && body == "ok"; got != c.served {
-				t.Errorf("answered %d %q, served: want %v", res.StatusCode, body, c.served)
+			res, body := send(1000, timeout)
+			if got := res.StatusCode == http.StatusOK && body == "ok"; got != test.wantServed {
+				t.Errorf("got %d %q, want served: %v", res.StatusCode, body, test.wantServed)
 			}
-			if want := int64(1 + b2i(c.served)); requested.Load() != want {
-				t.Errorf("%d attempts were made, want %d", requested.Load(), want)
+			if want := int64(1 + boolToInt(test.wantServed)); attempts.Load() != want {
+				t.Errorf("got %d attempts, want %d", attempts.Load(), want)
 			}
 		})
 	}
 }
 
-// A backend that left one attempt unanswered for long, and that may well be the connection's fault, must be tried again
-// within seconds: it would else be shunned for as long as the silence was long against an ordinary answer.
-func TestABackendThatWasSilentIsTriedAgain(t *testing.T) {
+// A backend with one attempt that had no response for a long time must be used again within seconds, as only the
+// connection may have failed. Otherwise the ratio of the hang to the usual latency would determine for how long the
+// backend isn't used.
+func TestBackendIsUsedAgainAfterHungAttempt(t *testing.T) {
 	t.Parallel()
-	var hung atomic.Int64 // which backend keeps silent, from 1
-	var tried atomic.Int64
-	handler := func(me int64) http.HandlerFunc {
+	// The number of the backend that has hung once, from 1; 0: none so far; -1: the next attempt hangs.
+	var hungBackend atomic.Int64
+	var laterAttempts atomic.Int64 // at that backend
+	handler := func(number int64) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			io.Copy(io.Discard, r.Body)
-			if hung.Load() == -1 {
-				hung.Store(me)
+			if hungBackend.Load() == -1 {
+				hungBackend.Store(number)
 				<-r.Context().Done()
 				return
 			}
-			if hung.Load() == me {
-				tried.Add(1)
+			if hungBackend.Load() == number {
+				laterAttempts.Add(1)
 			}
 			io.WriteString(w, "ok")
 		}
 	}
-	list := ready(serve(t, handler(1)), serve(t, handler(2)))
-	list.Endpoints[1].Cell = 1 // so that a keyed attempt can't be made elsewhere
-	d := startInstance(t, nil)
-	d.loop.Update(list)
-	ask := func(id int, timeout string) int {
-		res, _ := do(t, d.newRequest(t, "pay", func(r *http.Request) {
+	list := readyList(startHTTPServer(t, handler(1)), startHTTPServer(t, handler(2)))
+	list.Endpoints[1].Cell = 1 // so that a keyed request can't be retried at the other backend
+	instance := startGateway(t, nil)
+	instance.loop.Update(list)
+	send := func(id int, timeout string) int {
+		res, _ := doRequest(t, instance.newRequest(t, "pay", func(r *http.Request) {
 			r.Header.Set("Request-Id", fmt.Sprintf("%016x", id))
 			r.Header.Set("Request-Timeout", timeout)
 		}))
@@ -192,45 +198,45 @@
 	}
 	id := 0
 	for ; id < 200; id++ {
-		if status := ask(id, "20.5"); status != http.StatusOK {
-			t.Fatalf("an ordinary request was answered %d", status)
+		if status := send(id, "20.5"); status != http.StatusOK {
+			t.Fatalf("request before the hang: got %d, want 200", status)
 		}
 	}
-	hung.Store(-1)
-	if status := ask(id, "1"); status == http.StatusOK {
-		t.Fatal("a request that was not answered was served")
+	hungBackend.Store(-1)
+	if status := send(id, "1"); status == http.StatusOK {
+		t.Fatal("request whose attempt hangs: got 200, want an error")
 	}
-	for end := time.Now().Add(patient); tried.Load() == 0; id++ {
-		if time.Now().After(end) {
-			t.Fatalf("backend %d, silent once, is not tried again in %v", hung.Load(), patient)
+	for deadline := time.Now().Add(testTimeout); laterAttempts.Load() == 0; id++ {
+		if time.Now().After(deadline) {
+			t.Fatalf("backend %d, which hung once, got no attempt within %v, want one", hungBackend.Load(), testTimeout)
 		}
-		time.Sleep(5 * time.Millisecond) // so that the customer stays within its quota
-		if status := ask(id+1, "20.5"); status != http.StatusOK {
-			t.Fatalf("an ordinary request was answered %d", status)
+		time.Sleep(5 * time.Millisecond) // keeps the customer within its quota
+		if status := send(id+1, "20.5"); status != http.StatusOK {
+			t.Fatalf("request after the hang: got %d, want 200", status)
 		}
 	}
 }
 
-// Answers that report a customer's use out of order report one period more than once. A customer that stays within its
-// quota, by its own count and by every reading, must not be refused for that.
-func TestReadingsOutOfOrderRefuseNobody(t *testing.T) {
+// Responses may report the meter readings of a customer out of order, so that one meter period appears more than once.
+// A customer that stays within its quota, both by its own count and by every reading, must not be rejected for that.
+func TestMeterReadingsOutOfOrderCauseNoRejection(t *testing.T) {
 	t.Parallel()
-	var requested atomic.Int64
-	d := startInstance(t, nil, serve(t, func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set("X-RateLimit-Used", fmt.Sprint(40+requested.Add(1)%2))
+	var responses atomic.Int64
+	instance := startGateway(t, nil, startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+		w.Header().Set("X-RateLimit-Used", fmt.Sprint(40+responses.Add(1)%2))
 		io.WriteString(w, "ok")
 	}))
-	pace := time.NewTicker(260 * time.Millisecond) // a little over half the meter's period
-	defer pace.Stop()
+	ticker := time.NewTicker(260 * time.Millisecond) // slightly more than half a meter period
+	defer ticker.Stop()
 	for id := range 34 {
-		<-pace.C
-		res, _ := do(t, d.newRequest(t, "look", func(r *http.Request) {
+		<-ticker.C
+		res, _ := doRequest(t, instance.newRequest(t, "look", func(r *http.Request) {
 			r.Header.Set("Request-Id", fmt.Sprintf("%016x", id))
 			r.Header.Set("X-Tier", "tiny")
-			r.Header.Set("X-Call-Terms", "units=0.05,spread=1,first=0") // 0.19 units a second of 0.5
+			r.Header.Set("X-Call-Terms", "units=0.05,spread=1,first=0") // 0.19 units/s; the quota is 0.5 units/s
 		}))
 		if res.StatusCode != http.StatusOK {
-			t.Fatalf("request %d was answered %d", id, res.StatusCode)
+			t.Fatalf("request %d: got %d, want 200", id, res.StatusCode)
 		}
 	}
 }
