--- a/internal/frontdoor/config_test.go
+++ b/internal/frontdoor/config_test.go
@@ -7,16 +7,18 @@
 	"time"
 )
 
-func TestConfig(t *testing.T) {
+// The fields of a valid configuration must have the values and units of its file.
+func TestParseConfig(t *testing.T) {
 	c := config(t)
 	if c.Seed != 0x8c1f30d27a5be964 || c.SavedList.Version != 41 || c.Connections.IdleTimeout != 15*time.Second ||
-		c.Connections.ConnectTimeout != 250*time.Millisecond || len(c.Settings.Classes) != 2 || c.Limits.Sockets != 1024 {
-		t.Errorf("%+v", c)
+		c.Connections.ConnectTimeout != 250*time.Millisecond || len(c.Settings.Classes) != 2 ||
+		c.Limits.Sockets != 1024 {
+		t.Errorf("got %+v, want the values of testConfig", c)
 	}
 }
 
-// Bad configuration is one clear line, not an instance that runs on defaults.
-func TestBadConfig(t *testing.T) {
+// An invalid configuration must be rejected with an error of one line. The gateway must not run with defaults instead.
+func TestInvalidConfigIsRejected(t *testing.T) {
 	for name, change := range map[string][2]string{
 		"not JSON":       {"{", "["},
 		"no address":     {`"listen":"127.0.0.1:0",`, ""},
@@ -29,14 +31,14 @@
 		"no idle time":   {`"conn_idle_us":15000000,`, ""},
 	} {
 		if _, err := parseConfig([]byte(strings.Replace(testConfig, change[0], change[1], 1))); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: got no error, want one", name)
 		} else if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: more than a line: %v", name, err)
+			t.Errorf("%s: got error %q, want one of a single line", name, err)
 		}
 	}
 	for _, path := range []string{"", filepath.Join(t.TempDir(), "none.json")} {
 		if _, err := LoadConfig(path); err == nil {
-			t.Errorf("path %q: no error", path)
+			t.Errorf("path %q: got no error, want one", path)
 		}
 	}
 }
--- a/internal/frontdoor/discovery_test.go
+++ b/internal/frontdoor/discovery_test.go
@@ -15,52 +15,55 @@
 	"herontiller/internal/gateway"
 )
 
-// prompt is the retry policy for an agent that may take long over a request.
-var prompt = retryPolicy{drainGrace: time.Duration(float64(patient) / agentTimeoutFraction)}
+// agentPolicy is the retry policy of a gateway with its own agent. Its response timeout equals the time limit of tests.
+var agentPolicy = retryPolicy{drainGrace: time.Duration(float64(patient) / agentTimeoutFraction)}
 
-const entry = `{"host":"s-1","dial":"127.0.0.1:%d","site":"a","class":"m2","block":3,"health":"%s","share":1.0,"born_ms":0}`
+// entryFormat is the format of one entry of a list, with the port and the state of a backend as its verbs.
+const entryFormat = `{"host":"s-1","dial":"127.0.0.1:%d","site":"a","class":"m2","block":3,"health":"%s","share":1.0,"born_ms":0}`
 
-// A watch that is silent, ends or says what cannot be read is given up, and the next one requests from the version
-// that was received last: nothing that discovery sent may be lost on the way, a drain least of all.
-func TestWatchGoesOnWhereItWas(t *testing.T) {
+// A watch ends when it sends nothing, is closed or sends an invalid list. The next watch must start at the version
+// received last. Otherwise changes are lost; losing the change of a backend to draining would be the worst case.
+func TestWatchResumesFromLastVersion(t *testing.T) {
 	requested := make(chan string, 10)
-	n := 0
+	watches := 0
 	addr := serve(t, func(w http.ResponseWriter, r *http.Request) {
-		n++
+		watches++
 		requested <- r.URL.RawQuery
-		switch n {
+		switch watches {
 		case 1:
-			fmt.Fprintf(w, `{"seq":42,"whole":true,"hosts":[`+entry+"]}\n", 7, "Ready")
+			fmt.Fprintf(w, `{"seq":42,"whole":true,"hosts":[`+entryFormat+"]}\n", 7, "Ready")
 			w.(http.Flusher).Flush()
-			<-r.Context().Done() // silent until given up
+			<-r.Context().Done() // sends nothing until the watcher times out
 		case 2:
 			fmt.Fprintf(w, `{"seq":43,"whole":false,"hosts":[{"host":7}]}`+"\n")
 		default:
-			fmt.Fprintf(w, "\n"+`{"seq":43,"whole":false,"hosts":[`+entry+"]}\n", 7, "Terminating")
+			fmt.Fprintf(w, "\n"+`{"seq":43,"whole":false,"hosts":[`+entryFormat+"]}\n", 7, "Terminating")
 		}
 	})
 	lists := make(chan EndpointList, 10)
-	f := newWatcher(&http.Transport{}, prompt, addr, 41, func(l EndpointList) { lists <- l })
-	for want, wantSeq := range []int64{42, 42, 43} {
+	testWatcher := newWatcher(&http.Transport{}, agentPolicy, addr, 41, func(list EndpointList) { lists <- list })
+	for i, wantVersion := range []int64{42, 42, 43} {
 		ctx, cancel := context.WithTimeout(t.Context(), patient)
-		err := f.watch(ctx)
-		if err == nil || ctx.Err() != nil || f.version != wantSeq {
-			t.Errorf("watch %d ended with %v at version %d, want %d", want+1, err, f.version, wantSeq)
+		err := testWatcher.watch(ctx)
+		if err == nil || ctx.Err() != nil || testWatcher.version != wantVersion {
+			t.Errorf("watch %d: got error %v and version %d, want an error in time and version %d", i+1, err,
+				testWatcher.version, wantVersion)
 		}
 		cancel()
 	}
 	for i, want := range []string{"watch=1&from=41", "watch=1&from=42", "watch=1&from=42"} {
 		if got := <-requested; got != want {
-			t.Errorf("watch %d requested %q, want %q", i+1, got, want)
+			t.Errorf("watch %d: got query %q, want %q", i+1, got, want)
 		}
 	}
-	if a, b := <-lists, <-lists; !a.Full || a.Endpoints[0].Cell != 3 || b.Endpoints[0].State != "Terminating" {
-		t.Errorf("received %+v and %+v", a, b)
+	if first, second := <-lists, <-lists; !first.Full || first.Endpoints[0].Cell != 3 ||
+		second.Endpoints[0].State != "Terminating" {
+		t.Errorf("got the lists %+v and %+v, want a full one with cell 3, then one Terminating", first, second)
 	}
 }
 
-// Empty lines keep a watch alive for longer than its time-out.
-func TestEmptyLinesKeepAWatch(t *testing.T) {
+// Heartbeats, which are empty lines, must keep a watch open for longer than its idle timeout.
+func TestHeartbeatsKeepWatchOpen(t *testing.T) {
 	addr := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		for range 12 {
 			fmt.Fprintln(w)
@@ -69,244 +72,253 @@
 		}
 		fmt.Fprintln(w, `{"seq":50,"whole":true,"hosts":[]}`)
 	})
-	f := newWatcher(&http.Transport{}, prompt, addr, 1, func(EndpointList) {})
-	if err := f.watch(t.Context()); f.version != 50 {
-		t.Errorf("ended with %v at version %d", err, f.version)
+	testWatcher := newWatcher(&http.Transport{}, agentPolicy, addr, 1, func(EndpointList) {})
+	if err := testWatcher.watch(t.Context()); testWatcher.version != 50 {
+		t.Errorf("got error %v and version %d, want version 50", err, testWatcher.version)
 	}
 }
 
-// A bad entry is passed over, the rest of its line counts; a host keeps its id until it is gone.
-func TestListsReachTheGateway(t *testing.T) {
-	g := script(nil)
-	b := NewBackends(config(t))
-	k := clock{time.Now()}
-	l := newLoop(k, g, b)
-	e := func(host, dial, health string, born int64) Endpoint {
-		return Endpoint{Host: host, Address: dial, State: health, StartedMS: born}
+// An invalid entry is ignored, but the rest of its list is used. A host keeps its backend ID until it is gone.
+func TestListsArePassedToGateway(t *testing.T) {
+	handler := script(nil)
+	backends := NewBackends(config(t))
+	clk := clock{time.Now()}
+	loop := newLoop(clk, handler, backends)
+	endpoint := func(host, address, state string, startedMS int64) Endpoint {
+		return Endpoint{Host: host, Address: address, State: state, StartedMS: startedMS}
 	}
-	hourAgo := k.start.Add(-time.Hour).UnixMilli()
-	l.Update(EndpointList{Full: true, Endpoints: []Endpoint{e("s-1", "127.0.0.1:7", "Ready", 0),
-		e("", "127.0.0.1:7", "Ready", 0), e("s-3", "127.0.0.1:7", "Unwell", 0), e("s-4", "", "Ready", 0),
-		e("s-2", "127.0.0.1:8", "Ready", hourAgo), e("s-5", "127.0.0.1:9", "Ready", 1)}})
-	first := next[gateway.BackendList](t, g)
+	hourAgo := clk.start.Add(-time.Hour).UnixMilli()
+	loop.Update(EndpointList{Full: true, Endpoints: []Endpoint{endpoint("s-1", "127.0.0.1:7", "Ready", 0),
+		endpoint("", "127.0.0.1:7", "Ready", 0), endpoint("s-3", "127.0.0.1:7", "Unwell", 0),
+		endpoint("s-4", "", "Ready", 0),
+		endpoint("s-2", "127.0.0.1:8", "Ready", hourAgo), endpoint("s-5", "127.0.0.1:9", "Ready", 1)}})
+	first := next[gateway.BackendList](t, handler)
 	if first.Kind != gateway.ListFull || len(first.Backends) != 3 {
-		t.Fatalf("%+v", first)
+		t.Fatalf("got %+v, want a full list of 3 backends", first)
 	}
-	if s := first.Backends[1].Started; s < clockOffset-time.Hour-time.Second || s > clockOffset-time.Hour+time.Second {
-		t.Errorf("a start an hour ago is at %v, and now is %v", s, k.now())
+	if started := first.Backends[1].Started; started < clockOffset-time.Hour-time.Second ||
+		started > clockOffset-time.Hour+time.Second {
+		t.Errorf("got start time %v, want one hour before the clock's %v", started, clk.now())
 	}
-	if a, b := first.Backends[0].Started, first.Backends[2].Started; a != 0 || b != 0 {
-		t.Errorf("starts long ago are at %v and %v", a, b)
+	if unknown, early := first.Backends[0].Started, first.Backends[2].Started; unknown != 0 || early != 0 {
+		t.Errorf("got start times %v and %v for starts long ago, want 0", unknown, early)
 	}
-	l.Update(EndpointList{Endpoints: []Endpoint{e("s-1", "127.0.0.1:17", "Gone", 0)}})
-	l.Update(EndpointList{Endpoints: []Endpoint{e("s-1", "127.0.0.1:27", "Ready", 0)}})
-	if gone, back := next[gateway.BackendList](t, g), next[gateway.BackendList](t, g); gone.Kind != gateway.ListChanges ||
-		gone.Backends[0].State != gateway.Gone || back.Backends[0].ID == first.Backends[0].ID {
-		t.Errorf("%+v, then %+v", gone, back)
+	loop.Update(EndpointList{Endpoints: []Endpoint{endpoint("s-1", "127.0.0.1:17", "Gone", 0)}})
+	loop.Update(EndpointList{Endpoints: []Endpoint{endpoint("s-1", "127.0.0.1:27", "Ready", 0)}})
+	if gone, returned := next[gateway.BackendList](t, handler),
+		next[gateway.BackendList](t, handler); gone.Kind != gateway.ListChanges ||
+		gone.Backends[0].State != gateway.Gone || returned.Backends[0].ID == first.Backends[0].ID {
+		t.Errorf("got %+v, then %+v, want a host that is gone, then the same one with a new ID", gone, returned)
 	}
-	two := first.Backends[1].ID
-	l.Update(EndpointList{Endpoints: []Endpoint{e("s-2", "127.0.0.1:28", "Ready", hourAgo)}})
-	if again := next[gateway.BackendList](t, g); again.Backends[0].ID != two || b.readyEndpoint(two) == nil || b.readyEndpoint(two).addr != "127.0.0.1:28" {
-		t.Errorf("moved: %+v, ready at %+v", again, b.readyEndpoint(two))
+	secondID := first.Backends[1].ID
+	loop.Update(EndpointList{Endpoints: []Endpoint{endpoint("s-2", "127.0.0.1:28", "Ready", hourAgo)}})
+	if moved := next[gateway.BackendList](t, handler); moved.Backends[0].ID != secondID ||
+		backends.readyEndpoint(secondID) == nil || backends.readyEndpoint(secondID).addr != "127.0.0.1:28" {
+		t.Errorf("got %+v with endpoint %+v after a change of address, want the same ID and port 28", moved,
+			backends.readyEndpoint(secondID))
 	}
-	l.Update(EndpointList{Full: true}) // what a whole list lacks is gone
-	if b.readyEndpoint(two) != nil {
-		t.Error("a backend that the whole list lacks may still be sent to")
+	loop.Update(EndpointList{Full: true}) // backends missing from a full list are gone
+	if backends.readyEndpoint(secondID) != nil {
+		t.Error("got an endpoint for a backend missing from the full list, want none")
 	}
 }
 
-// After a move the versions of the old discovery mean nothing: the new one's whole list comes first, and then its
-// changes, from its own version on. The same holds where one discovery's versions go back.
-func TestAMoveTakesTheWholeList(t *testing.T) {
-	discovery := func(answer func(r *http.Request) string) (string, chan string) {
+// After a change of address the old discovery's versions are meaningless, so the watcher must request the full list
+// from the new one and watch from its version. The same holds if one discovery sends an older version than before.
+func TestAddressChangeRequestsFullList(t *testing.T) {
+	startDiscovery := func(respond func(r *http.Request) string) (string, chan string) {
 		requested := make(chan string, 10)
 		return serve(t, func(w http.ResponseWriter, r *http.Request) {
 			requested <- r.URL.RequestURI()
-			fmt.Fprintln(w, answer(r))
+			fmt.Fprintln(w, respond(r))
 			if r.URL.RawQuery != "" {
 				w.(http.Flusher).Flush()
 				<-r.Context().Done()
 			}
 		}), requested
 	}
-	first, requestedFirst := discovery(func(*http.Request) string { return `{"seq":900,"whole":false,"hosts":[]}` })
-	second, requestedSecond := discovery(func(r *http.Request) string {
+	firstAddr, firstRequests := startDiscovery(func(*http.Request) string {
+		return `{"seq":900,"whole":false,"hosts":[]}`
+	})
+	secondAddr, secondRequests := startDiscovery(func(r *http.Request) string {
 		if r.URL.RawQuery == "watch=1&from=7" {
-			return `{"seq":2,"whole":false,"hosts":[]}` // it has begun anew
+			return `{"seq":2,"whole":false,"hosts":[]}` // it has restarted
 		}
 		return `{"seq":7,"whole":true,"hosts":[]}`
 	})
-	moves, lists := make(chan string), make(chan EndpointList, 100)
+	addresses, lists := make(chan string), make(chan EndpointList, 100)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() {
-		c := Config{Discovery: first, SavedList: EndpointList{Version: 800}}
-		WatchDiscovery(ctx, c, moves, func(l EndpointList) { lists <- l })
+		cfg := Config{Discovery: firstAddr, SavedList: EndpointList{Version: 800}}
+		WatchDiscovery(ctx, cfg, addresses, func(list EndpointList) { lists <- list })
 		close(ended)
 	}()
-	if got := <-requestedFirst; got != "/v1/endpoints?watch=1&from=800" {
-		t.Errorf("the first received a request for %s", got)
+	if got := <-firstRequests; got != "/v1/endpoints?watch=1&from=800" {
+		t.Errorf("first discovery: got a request for %s, want /v1/endpoints?watch=1&from=800", got)
 	}
-	if l := <-lists; l.Version != 900 {
-		t.Errorf("the first sent %+v", l)
+	if list := <-lists; list.Version != 900 {
+		t.Errorf("first discovery: got list %+v, want version 900", list)
 	}
-	moves <- second
+	addresses <- secondAddr
 	for i, want := range []string{"/v1/endpoints", "/v1/endpoints?watch=1&from=7", "/v1/endpoints"} {
-		if got := <-requestedSecond; got != want {
-			t.Errorf("question %d to the second was %s, want %s", i+1, got, want)
+		if got := <-secondRequests; got != want {
+			t.Errorf("second discovery: got request %d for %s, want %s", i+1, got, want)
 		}
 	}
-	if l := <-lists; l.Version != 7 || !l.Full {
-		t.Errorf("the second sent %+v", l)
+	if list := <-lists; list.Version != 7 || !list.Full {
+		t.Errorf("second discovery: got list %+v, want a full list of version 7", list)
 	}
 	cancel()
 	<-ended
 }
 
-// roundTrip is a transport made of a function.
-type roundTrip func(*http.Request) (*http.Response, error)
+// roundTripFunc is an http.RoundTripper that calls a function.
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
-func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// response is what discovery does with one request.
-type response string
+// scriptedResponse is how a scriptedDiscovery responds to one request.
+type scriptedResponse string
 
 const (
-	refuses   response = "refuses"            // 503
-	resets    response = "resets"             // the connection breaks
-	unheard   response = "says nothing"       // not even a head
-	headOnly  response = "sends a head only"  // and is silent then
-	drips     response = "drips"              // a list that never ends
-	goesQuiet response = "tells, goes silent" // its first list, and nothing from then on
-	tells     response = "tells"              // and goes on
+	unavailable        scriptedResponse = "unavailable"          // status 503
+	connectionReset    scriptedResponse = "connection reset"     // the request fails
+	noResponse         scriptedResponse = "no response"          // not even headers
+	headersOnly        scriptedResponse = "headers only"         // and no body
+	slowList           scriptedResponse = "slow list"            // one byte per second, never complete
+	listThenSilence    scriptedResponse = "list, then silence"   // no heartbeats after the list
+	listThenHeartbeats scriptedResponse = "list with heartbeats" // the normal response
 )
 
-// scriptedDiscovery is a discovery that takes one step for each request, and sends lists from then on. What it has
-// changed since is in all lists that it sends; it is what a whole list holds, too.
+// scriptedDiscovery responds to each request with the next scripted response, and to all later ones with a list and
+// heartbeats. Every list that it sends is a full list of the current version.
 type scriptedDiscovery struct {
-	steps []response
-	asks  int
-	seq   atomic.Int64
+	responses []scriptedResponse
+	requests  int // number of requests received
+	version   atomic.Int64
 }
 
-// dripping is an answer of bytes that come one by one, and never end.
-type dripping struct {
-	ctx  context.Context
-	text string
+// slowBody is the body of a response that sends one byte per second: first the text, then spaces without end.
+type slowBody struct {
+	ctx    context.Context
+	unread string
 }
 
-func (d *dripping) Read(p []byte) (int, error) {
-	if !sleep(d.ctx, time.Second) {
-		return 0, context.Cause(d.ctx)
+func (b *slowBody) Read(p []byte) (int, error) {
+	if !sleep(b.ctx, time.Second) {
+		return 0, context.Cause(b.ctx)
 	}
 	p[0] = ' '
-	if d.text != "" {
-		p[0], d.text = d.text[0], d.text[1:]
+	if b.unread != "" {
+		p[0], b.unread = b.unread[0], b.unread[1:]
 	}
 	return 1, nil
 }
 
-// lines is an answer of one list and then, if beats, empty lines every 2 s.
-type lines struct {
-	ctx   context.Context
-	text  string
-	beats bool
-	last  bool // the answer ends with the text
+// listBody is the body of a response that sends one list and then, if heartbeats is set, an empty line every 2 s.
+type listBody struct {
+	ctx           context.Context
+	unread        string
+	heartbeats    bool
+	endsAfterList bool // the body ends after the list
 }
 
-func (l *lines) Read(p []byte) (int, error) {
+func (b *listBody) Read(p []byte) (int, error) {
 	switch {
-	case l.text != "":
-		n := copy(p, l.text)
-		l.text = l.text[n:]
+	case b.unread != "":
+		n := copy(p, b.unread)
+		b.unread = b.unread[n:]
 		return n, nil
-	case l.last:
+	case b.endsAfterList:
 		return 0, io.EOF
-	case l.beats && sleep(l.ctx, 2*time.Second):
+	case b.heartbeats && sleep(b.ctx, 2*time.Second):
 		return copy(p, "\n"), nil
 	}
-	<-l.ctx.Done()
-	return 0, context.Cause(l.ctx)
+	<-b.ctx.Done()
+	return 0, context.Cause(b.ctx)
 }
 
-func (s *scriptedDiscovery) RoundTrip(r *http.Request) (*http.Response, error) {
-	do := tells
-	if s.asks < len(s.steps) {
-		do = s.steps[s.asks]
+func (d *scriptedDiscovery) RoundTrip(r *http.Request) (*http.Response, error) {
+	response := listThenHeartbeats
+	if d.requests < len(d.responses) {
+		response = d.responses[d.requests]
 	}
-	s.asks++
-	ok := func(body io.Reader) (*http.Response, error) {
+	d.requests++
+	respondOK := func(body io.Reader) (*http.Response, error) {
 		return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(body)}, nil
 	}
-	list := fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[]}`+"\n", s.seq.Load())
-	switch do {
-	case refuses:
+	list := fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[]}`+"\n", d.version.Load())
+	switch response {
+	case unavailable:
 		return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
-	case resets:
+	case connectionReset:
 		return nil, io.ErrUnexpectedEOF
-	case unheard:
+	case noResponse:
 		<-r.Context().Done()
 		return nil, context.Cause(r.Context())
-	case headOnly:
-		return ok(&lines{ctx: r.Context()})
-	case drips:
-		return ok(&dripping{r.Context(), list[:len(list)-9]})
+	case headersOnly:
+		return respondOK(&listBody{ctx: r.Context()})
+	case slowList:
+		return respondOK(&slowBody{r.Context(), list[:len(list)-9]}) // ends within the field name "hosts"
 	}
-	return ok(&lines{r.Context(), list, do == tells, r.URL.RawQuery == ""})
+	return respondOK(&listBody{r.Context(), list, response == listThenHeartbeats, r.URL.RawQuery == ""})
 }
 
-// A change that discovery has, and that could be requested, is known within stalenessBound, whatever was refused,
-// failed or given up meanwhile: the change comes in the moment in which the last watch has said its last word, and
-// what the next requests meet is scripted. So is where the instance starts, or is moved by SIGHUP in the middle of a
-// request.
-func TestAChangeIsKnownInTime(t *testing.T) {
+// A change at discovery must be received within stalenessBound, whatever requests were rejected, failed or timed out
+// meanwhile. In the worst case the change happens right after the watch has sent its last data, when the gateway has
+// just started, or when SIGHUP changes the address during a request. Each case scripts how the next requests fail.
+func TestChangeIsReceivedWithinStalenessBound(t *testing.T) {
 	agent := Config{Settings: gateway.Settings{Gateways: 350, DrainGrace: 500 * time.Millisecond}}
-	service := func(instances int) Config {
-		return Config{Settings: gateway.Settings{Gateways: instances, DrainGrace: 500 * time.Millisecond, AskForList: true}}
+	service := func(gateways int) Config {
+		return Config{Settings: gateway.Settings{Gateways: gateways, DrainGrace: 500 * time.Millisecond,
+			AskForList: true}}
 	}
-	for _, c := range []struct {
-		name   string
-		config Config
-		moved  bool
-		steps  []response
+	for _, test := range []struct {
+		name           string
+		config         Config
+		addressChanges bool
+		responses      []scriptedResponse
 	}{
-		{"a silent watch", agent, false, []response{goesQuiet}},
-		{"a silent watch, and the next silent at once", agent, false, []response{goesQuiet, headOnly}},
-		{"a silent watch, refusals and breaks", agent, false, []response{goesQuiet, refuses, resets, unheard, refuses, resets}},
-		{"a silent watch, then a list that drips", agent, false, []response{goesQuiet, drips}},
-		{"a start at an agent that is silent twice", agent, false, []response{unheard, unheard, headOnly}},
-		{"a move in the middle of a request", agent, true, []response{unheard, refuses, headOnly}},
-		{"a move and a whole list that drips", agent, true, []response{unheard, drips, resets}},
-		{"a silent watch of a service", service(4), false, []response{goesQuiet}},
-		{"a silent watch of a service that then refuses", service(30), false, []response{goesQuiet, refuses}},
-		{"a start at a service that refuses twice", service(30), false, []response{refuses, refuses}},
-		{"a move at a service", service(30), true, []response{unheard, refuses, resets}},
+		{"agent: silent watch", agent, false, []scriptedResponse{listThenSilence}},
+		{"agent: silent watch, then no body", agent, false, []scriptedResponse{listThenSilence, headersOnly}},
+		{"agent: silent watch, then rejections and resets", agent, false, []scriptedResponse{listThenSilence,
+			unavailable, connectionReset, noResponse, unavailable, connectionReset}},
+		{"agent: silent watch, then a slow list", agent, false, []scriptedResponse{listThenSilence, slowList}},
+		{"agent: start, no response twice", agent, false, []scriptedResponse{noResponse, noResponse, headersOnly}},
+		{"agent: address changed", agent, true, []scriptedResponse{noResponse, unavailable, headersOnly}},
+		{"agent: address changed, slow list", agent, true, []scriptedResponse{noResponse, slowList, connectionReset}},
+		{"service: silent watch", service(4), false, []scriptedResponse{listThenSilence}},
+		{"service: silent watch, then rejection", service(30), false, []scriptedResponse{listThenSilence, unavailable}},
+		{"service: start, two rejections", service(30), false, []scriptedResponse{unavailable, unavailable}},
+		{"service: address changed", service(30), true, []scriptedResponse{noResponse, unavailable, connectionReset}},
 	} {
-		for range 20 { // pauses are drawn
+		for range 20 { // the backoff is random
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
-				known := make(chan int64, 100)
-				s := &scriptedDiscovery{steps: c.steps}
-				s.seq.Store(1)
-				moves := make(chan string)
+				versions := make(chan int64, 100)
+				discovery := &scriptedDiscovery{responses: test.responses}
+				discovery.version.Store(1)
+				addresses := make(chan string)
 				ended := make(chan bool)
 				go func() {
-					watchDiscoveryOver(ctx, s, c.config, moves, func(l EndpointList) { known <- l.Version })
+					watchDiscoveryOver(ctx, discovery, test.config, addresses,
+						func(list EndpointList) { versions <- list.Version })
 					close(ended)
 				}()
-				if c.steps[0] == goesQuiet {
-					<-known // from here on the watch is silent
+				if test.responses[0] == listThenSilence {
+					<-versions // from now on the watch sends nothing
 				}
 				synctest.Wait()
-				s.seq.Store(2)
+				discovery.version.Store(2)
 				start := time.Now()
-				if c.moved {
-					moves <- "elsewhere"
+				if test.addressChanges {
+					addresses <- "elsewhere"
 				}
-				for <-known != 2 {
+				for <-versions != 2 {
 				}
 				if took := time.Since(start); took > stalenessBound {
-					t.Errorf("%s: known after %v", c.name, took)
+					t.Errorf("%s: got the change after %v, want it within stalenessBound", test.name, took)
 				}
 				stop()
 				<-ended
@@ -315,42 +327,47 @@
 	}
 }
 
-// The longest lists that the pages allow pass, whole and as changes, also indented.
-func TestListsOfAThousandBackendsPass(t *testing.T) {
+// A list of 1024 backends with long texts, which the protocol allows, must be accepted even if it is indented, both in
+// response to a request for the full list and in a watch.
+func TestListOfThousandBackendsIsAccepted(t *testing.T) {
 	list := EndpointList{Version: 9, Full: true}
 	for i := range 1024 {
-		list.Endpoints = append(list.Endpoints, Endpoint{Host: fmt.Sprintf("s-%060x", i), Address: fmt.Sprintf("127.0.%d.%d:8443", i/250, i%250),
-			Zone: strings.Repeat("zone", 10), Kind: strings.Repeat("kind", 10), State: "Ready", Weight: 1, StartedMS: 1790000000000})
+		list.Endpoints = append(list.Endpoints, Endpoint{Host: fmt.Sprintf("s-%060x", i),
+			Address: fmt.Sprintf("127.0.%d.%d:8443", i/250, i%250), Zone: strings.Repeat("zone", 10),
+			Kind: strings.Repeat("kind", 10), State: "Ready", Weight: 1, StartedMS: 1790000000000})
 	}
 	text, err := json.MarshalIndent(list, "", strings.Repeat(" ", 16))
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.Write(text) })
-	for how, take := range map[string]func(*watcher, context.Context) error{
-		"whole":   (*watcher).fetch,
-		"watched": (*watcher).watch,
+	for name, read := range map[string]func(*watcher, context.Context) error{
+		"fetch": (*watcher).fetch,
+		"watch": (*watcher).watch,
 	} {
-		hosts := 0
-		f := newWatcher(&http.Transport{}, prompt, addr, 0, func(l EndpointList) { hosts = len(validEndpoints(l.Endpoints)) })
-		err := take(f, t.Context())
-		if hosts != 1024 || f.version != 9 {
-			t.Errorf("%s: %d hosts of version %d, %v", how, hosts, f.version, err)
+		received := 0
+		testWatcher := newWatcher(&http.Transport{}, agentPolicy, addr, 0, func(update EndpointList) {
+			received = len(validEndpoints(update.Endpoints))
+		})
+		err := read(testWatcher, t.Context())
+		if received != 1024 || testWatcher.version != 9 {
+			t.Errorf("%s: got %d endpoints of version %d and error %v, want 1024 of version 9", name, received,
+				testWatcher.version, err)
 		}
 	}
 }
 
-// Moves that come while a request is out, twice in a row, and to an address that says nothing, leave the last one
-// followed: what the ones before still say is dropped.
-func TestMovesInTheMiddleOfARequest(t *testing.T) {
+// After two changes of address in a row, each during a request and the first to a discovery that sends no response, the
+// watcher must use the last address, and lists from the earlier ones must be dropped.
+func TestAddressChangesDuringRequest(t *testing.T) {
 	requested := make(chan string, 100)
-	silent := func(name string) string {
+	startSilent := func(name string) string {
 		return serve(t, func(_ http.ResponseWriter, r *http.Request) {
 			requested <- name
 			<-r.Context().Done()
 		})
 	}
-	last := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	lastAddr := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintln(w, "{\n  \"seq\": 5,\n  \"whole\": true,\n  \"hosts\": [\n    {\n      \"host\": \"s-1\",\n"+
 			"      \"dial\": \"127.0.0.1:1\",\n      \"health\": \"Terminating\"\n    }\n  ]\n}")
 		if r.URL.RawQuery != "" {
@@ -358,22 +375,24 @@
 			<-r.Context().Done()
 		}
 	})
-	moves, lists := make(chan string), make(chan EndpointList, 100)
+	addresses, lists := make(chan string), make(chan EndpointList, 100)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() {
-		WatchDiscovery(ctx, Config{Discovery: silent("first")}, moves, func(l EndpointList) { lists <- l })
+		WatchDiscovery(ctx, Config{Discovery: startSilent("first")}, addresses,
+			func(list EndpointList) { lists <- list })
 		close(ended)
 	}()
 	if got := <-requested; got != "first" {
-		t.Errorf("%s received a request", got)
+		t.Errorf("got the first request at the %s discovery, want it at the first", got)
 	}
-	moves <- silent("second")
-	for got := "first"; got == "first"; got = <-requested { // it may have been asked again before the move
+	addresses <- startSilent("second")
+	for got := "first"; got == "first"; got = <-requested { // the first may receive a retry before the change
 	}
-	moves <- last
-	if l := <-lists; l.Version != 5 || !l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].State != "Terminating" {
-		t.Errorf("the last sent %+v", l)
+	addresses <- lastAddr
+	if list := <-lists; list.Version != 5 || !list.Full || len(list.Endpoints) != 1 ||
+		list.Endpoints[0].State != "Terminating" {
+		t.Errorf("got %+v from the last discovery, want a full list of version 5 with one draining backend", list)
 	}
 	cancel()
 	<-ended
--- a/internal/frontdoor/fleet_discovery_test.go
+++ b/internal/frontdoor/fleet_discovery_test.go
@@ -14,308 +14,317 @@
 	"herontiller/internal/gateway"
 )
 
-// busyDiscovery is a discovery service of fixed capacity: it serves one request after another, lets each wait in its
-// queue for maxQueueWait at most, and refuses at once those that would have to wait for longer. That is how the
-// bench's does it. While it is down it refuses connections, or, if holds, lets each request wait for maxQueueWait and
-// refuses it then, as the bench's does.
-type busyDiscovery struct {
-	each  time.Duration // that a request takes it
-	holds bool
+// queueingDiscovery is a discovery service of fixed capacity. It serves one request at a time, queues each for up to
+// maxQueueWait, and immediately rejects requests that would have to wait longer, like the discovery service of the test
+// bench. While it is down it refuses connections or, if holdsWhenDown is set, rejects each request after maxQueueWait,
+// which is what the test bench's service does.
+type queueingDiscovery struct {
+	serviceTime   time.Duration // per request
+	holdsWhenDown bool
 
-	mu   sync.Mutex
-	free time.Time // when it will have served all that wait
-	up   context.Context
-	cut  context.CancelFunc // ends all watches
-	idle time.Duration      // time without a request although it was up
+	mu         sync.Mutex
+	freeAt     time.Time          // when all queued requests will have been served
+	running    context.Context    // ends when the service stops or its watches are ended
+	endWatches context.CancelFunc // ends running, and with it all watches
+	idleTime   time.Duration      // time while up without a request
 }
 
-var errDown = errors.New("connection refused")
+var errConnectionRefused = errors.New("connection refused")
 
-func newBusyDiscovery(each time.Duration) *busyDiscovery {
-	d := &busyDiscovery{each: each}
+func newQueueingDiscovery(serviceTime time.Duration) *queueingDiscovery {
+	d := &queueingDiscovery{serviceTime: serviceTime}
 	d.start()
 	return d
 }
 
-func (d *busyDiscovery) start() {
+func (d *queueingDiscovery) start() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.free = time.Now()
-	d.up, d.cut = context.WithCancel(context.Background())
+	d.freeAt = time.Now()
+	d.running, d.endWatches = context.WithCancel(context.Background())
 }
 
-// breakWatches ends all watches that are open; the service goes on.
-func (d *busyDiscovery) breakWatches() {
+// breakWatches ends all open watches, but the service keeps running.
+func (d *queueingDiscovery) breakWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cut()
-	d.up, d.cut = context.WithCancel(context.Background())
+	d.endWatches()
+	d.running, d.endWatches = context.WithCancel(context.Background())
 }
 
 // stop takes the service down until it is started again.
-func (d *busyDiscovery) stop() {
+func (d *queueingDiscovery) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cut()
+	d.endWatches()
 }
 
-// enqueue takes a position in the queue, if there is one.
-func (d *busyDiscovery) enqueue() (wait time.Duration, up context.Context, err error) {
+// enqueue adds a request to the queue. It returns the time until it has been served and a context that ends with the
+// service, errConnectionRefused if the service is down, or a nil context if the queue is full.
+func (d *queueingDiscovery) enqueue() (wait time.Duration, running context.Context, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	if d.up.Err() != nil {
-		return 0, nil, errDown
+	if d.running.Err() != nil {
+		return 0, nil, errConnectionRefused
 	}
-	if now.After(d.free) {
-		d.idle += now.Sub(d.free)
-		d.free = now
+	if now.After(d.freeAt) {
+		d.idleTime += now.Sub(d.freeAt)
+		d.freeAt = now
 	}
-	wait = d.free.Sub(now) + d.each
+	wait = d.freeAt.Sub(now) + d.serviceTime
 	if wait > maxQueueWait {
 		return 0, nil, nil
 	}
-	d.free = d.free.Add(d.each)
-	return wait, d.up, nil
+	d.freeAt = d.freeAt.Add(d.serviceTime)
+	return wait, d.running, nil
 }
 
-func (d *busyDiscovery) RoundTrip(r *http.Request) (*http.Response, error) {
-	refusal := &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}
-	wait, up, err := d.enqueue()
+func (d *queueingDiscovery) RoundTrip(r *http.Request) (*http.Response, error) {
+	rejection := &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}
+	wait, running, err := d.enqueue()
 	switch {
-	case err != nil && d.holds && sleep(r.Context(), maxQueueWait):
-		return refusal, nil
+	case err != nil && d.holdsWhenDown && sleep(r.Context(), maxQueueWait):
+		return rejection, nil
 	case err != nil:
 		return nil, err
-	case up == nil:
-		return refusal, nil
+	case running == nil:
+		return rejection, nil
 	case !sleep(r.Context(), wait):
 		return nil, context.Cause(r.Context())
-	case up.Err() != nil:
-		return nil, errDown
+	case running.Err() != nil:
+		return nil, errConnectionRefused
 	}
 	ctx, end := context.WithCancel(r.Context())
-	context.AfterFunc(up, end)
-	whole := r.URL.RawQuery == ""
-	list := fmt.Sprintf(`{"seq":1,"whole":%v,"hosts":[]}`+"\n", whole)
-	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(&lines{ctx, list, !whole, whole})}, nil
+	context.AfterFunc(running, end)
+	full := r.URL.RawQuery == ""
+	list := fmt.Sprintf(`{"seq":1,"whole":%v,"hosts":[]}`+"\n", full)
+	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(&listBody{ctx, list, !full, full})}, nil
 }
 
-// followed is a follower that runs, and when its list was last confirmed.
-type followed struct {
-	started time.Time
-	moves   chan string
-	end     func()
+// runningWatcher is a watcher in a goroutine of its own. It records when it received lists.
+type runningWatcher struct {
+	started   time.Time
+	addresses chan string
+	stop      func()
 
-	mu    sync.Mutex
-	first time.Time // when it received the first list
-	last  time.Time
+	mu            sync.Mutex
+	firstList     time.Time // when it received the first list; zero: not yet
+	lastConfirmed time.Time // when it last received a list or a heartbeat; zero: not yet
 }
 
-// follow starts a follower of a fleet of 300.
-func follow(d http.RoundTripper) *followed {
-	config := Config{Discovery: "discovery", Settings: gateway.Settings{Gateways: 300, DrainGrace: 400 * time.Millisecond,
+// startWatcher starts the watcher of one gateway in a fleet of 300.
+func startWatcher(transport http.RoundTripper) *runningWatcher {
+	cfg := Config{Discovery: "discovery", Settings: gateway.Settings{Gateways: 300, DrainGrace: 400 * time.Millisecond,
 		AskForList: true}}
-	config.Connections.StalenessBound = 10 * time.Second
+	cfg.Connections.StalenessBound = 10 * time.Second
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	f := &followed{started: time.Now(), moves: make(chan string)}
-	f.end = func() {
+	w := &runningWatcher{started: time.Now(), addresses: make(chan string)}
+	w.stop = func() {
 		stop()
 		<-ended
 	}
 	go func() {
 		defer close(ended)
-		watchDiscoveryOver(ctx, d, config, f.moves, func(EndpointList) {
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			f.last = time.Now()
-			if f.first.IsZero() {
-				f.first = f.last
+		watchDiscoveryOver(ctx, transport, cfg, w.addresses, func(EndpointList) {
+			w.mu.Lock()
+			defer w.mu.Unlock()
+			w.lastConfirmed = time.Now()
+			if w.firstList.IsZero() {
+				w.firstList = w.lastConfirmed
 			}
 		})
 	}()
-	return f
+	return w
 }
 
-// listTimes gives the times of the first and the last list; zero: there was none.
-func (f *followed) listTimes() (first, last time.Time) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.first, f.last
+// listTimes returns when the first list was received and when a list was last received or confirmed; zero: not yet.
+func (w *runningWatcher) listTimes() (firstList, lastConfirmed time.Time) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.firstList, w.lastConfirmed
 }
 
-// late counts the followers that have received nothing since a moment, and fails where there are any.
-func late(t *testing.T, fleet []*followed, after time.Time, what string) {
+// checkAllConfirmed fails the test if any watcher of a fleet has received neither a list nor a heartbeat since a time.
+func checkAllConfirmed(t *testing.T, fleet []*runningWatcher, since time.Time, when string) {
 	t.Helper()
 	count := 0
-	for _, f := range fleet {
-		if _, last := f.listTimes(); last.Before(after) {
+	for _, w := range fleet {
+		if _, lastConfirmed := w.listTimes(); lastConfirmed.Before(since) {
 			count++
 		}
 	}
 	if count > 0 {
-		t.Errorf("%s: %d of %d have received nothing in the %v since", what, count, len(fleet), time.Since(after))
+		t.Errorf("%s: got %d of %d watchers without a list or heartbeat for %v, want 0", when, count, len(fleet),
+			time.Since(since))
 	}
 }
 
-func followAll(d http.RoundTripper, count int) (fleet []*followed) {
+func startWatchers(transport http.RoundTripper, count int) (fleet []*runningWatcher) {
 	for range count {
-		fleet = append(fleet, follow(d))
+		fleet = append(fleet, startWatcher(transport))
 	}
 	return fleet
 }
 
-func endAll(fleet []*followed) {
-	for _, f := range fleet {
-		f.end()
+func stopWatchers(fleet []*runningWatcher) {
+	for _, w := range fleet {
+		w.stop()
 	}
 }
 
-// A tenth of a fleet is restarted every 1.5 s. The service can answer each tenth in 1.2 s, so each new process has its
-// list soon, and nobody else is kept from anything.
-func TestRestartedProcessesHaveTheirListSoon(t *testing.T) {
+// Every 1.5 s a tenth of the fleet is restarted. The service can answer the requests of a tenth in 1.2 s, so each new
+// process must receive its list soon, and the requests must not delay the other gateways.
+func TestRestartedGatewaysReceiveListSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newBusyDiscovery(40 * time.Millisecond)
-		fleet := followAll(d, 300)
+		discovery := newQueueingDiscovery(40 * time.Millisecond)
+		fleet := startWatchers(discovery, 300)
 		time.Sleep(30 * time.Second)
-		late(t, fleet, time.Now().Add(-serviceIdleTimeout), "at the start")
+		checkAllConfirmed(t, fleet, time.Now().Add(-serviceIdleTimeout), "at the start")
 		for tenth := range 10 {
-			part := fleet[30*tenth : 30*tenth+30]
-			endAll(part)
-			copy(part, followAll(d, 30))
+			restarted := fleet[30*tenth : 30*tenth+30]
+			stopWatchers(restarted)
+			copy(restarted, startWatchers(discovery, 30))
 			time.Sleep(1500 * time.Millisecond)
 		}
 		time.Sleep(stalenessBound)
 		slow := 0
-		for _, f := range fleet {
-			if first, _ := f.listTimes(); first.IsZero() || first.Sub(f.started) > stalenessBound/2 {
+		for _, w := range fleet {
+			if firstList, _ := w.listTimes(); firstList.IsZero() || firstList.Sub(w.started) > stalenessBound/2 {
 				slow++
 			}
 		}
 		if slow > 0 {
-			t.Errorf("%d of %d new processes had no list within %v", slow, len(fleet), stalenessBound/2)
+			t.Errorf("got %d of %d new processes without a list within %v, want 0", slow, len(fleet), stalenessBound/2)
 		}
-		late(t, fleet, time.Now().Add(-serviceIdleTimeout), "at the end")
-		endAll(fleet)
+		checkAllConfirmed(t, fleet, time.Now().Add(-serviceIdleTimeout), "at the end")
+		stopWatchers(fleet)
 	})
 }
 
-// All of a fleet are moved to another discovery at once, which takes the service 42 s: two requests each. It is kept
-// busy until all are done, and nine in ten of the processes that start meanwhile have a list within the time in which
-// the pages want them to be ready, though most of the fleet has to wait for longer.
-func TestAMoveOfAFleetLeavesRoomForNewProcesses(t *testing.T) {
-	const each, readyWithin = 70 * time.Millisecond, 10 * time.Second
+// When the address of discovery changes for the whole fleet at once, the new service needs 42 s to answer: each of the
+// 300 gateways sends two requests of 70 ms. The service must be busy until all have their lists. Most of the fleet has
+// to wait longer than readyWithin, the time within which the protocol requires a new process to be ready, but nine in
+// ten of the processes that start meanwhile must have a list in that time.
+func TestFleetAddressChangeLeavesCapacityForNewProcesses(t *testing.T) {
+	const serviceTime, readyWithin = 70 * time.Millisecond, 10 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		second := newBusyDiscovery(each)
-		fleet := followAll(&moved{newBusyDiscovery(time.Millisecond), second}, 300)
+		newDiscovery := newQueueingDiscovery(serviceTime)
+		fleet := startWatchers(&addressedDiscovery{newQueueingDiscovery(time.Millisecond), newDiscovery}, 300)
 		time.Sleep(5 * time.Second)
 		start := time.Now()
-		for _, f := range fleet {
-			f.moves <- "elsewhere"
+		for _, w := range fleet {
+			w.addresses <- "elsewhere"
 		}
 		time.Sleep(3 * time.Second)
-		started := followAll(second, 30)
+		newWatchers := startWatchers(newDiscovery, 30)
 		time.Sleep(2 * stalenessBound)
-		count := 0
-		for _, f := range started {
-			if first, _ := f.listTimes(); !first.IsZero() && first.Sub(f.started) <= readyWithin {
-				count++
+		inTime := 0
+		for _, w := range newWatchers {
+			if firstList, _ := w.listTimes(); !firstList.IsZero() && firstList.Sub(w.started) <= readyWithin {
+				inTime++
 			}
 		}
-		if count < 27 {
-			t.Errorf("%d of 30 new processes had a list within %v", count, readyWithin)
+		if inTime < 27 {
+			t.Errorf("got %d of 30 new processes with a list within %v, want at least 27", inTime, readyWithin)
 		}
-		work := 630 * each
-		time.Sleep(time.Until(start.Add(work + stalenessBound)))
-		late(t, append(started, fleet...), time.Now().Add(-serviceIdleTimeout), "after a move")
-		if second.idle > 3*time.Second+stalenessBound+work/20 { // before the first request, and after the last one
-			t.Errorf("the service was idle for %v", second.idle)
+		totalServiceTime := 630 * serviceTime
+		time.Sleep(time.Until(start.Add(totalServiceTime + stalenessBound)))
+		checkAllConfirmed(t, append(newWatchers, fleet...), time.Now().Add(-serviceIdleTimeout), "after the change")
+		// The service is idle before the first and after the last request.
+		if newDiscovery.idleTime > 3*time.Second+stalenessBound+totalServiceTime/20 {
+			t.Errorf("got idle time %v, want at most 3 s, stalenessBound and a twentieth of the total service time",
+				newDiscovery.idleTime)
 		}
-		endAll(append(started, fleet...))
+		stopWatchers(append(newWatchers, fleet...))
 	})
 }
 
-// moved is two discoveries: that of the address "discovery" and that of any other.
-type moved struct{ first, second http.RoundTripper }
+// addressedDiscovery routes requests for the address "discovery" to the original service, all others to the other one.
+type addressedDiscovery struct{ original, other http.RoundTripper }
 
-func (m *moved) RoundTrip(r *http.Request) (*http.Response, error) {
+func (d *addressedDiscovery) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Host == "discovery" {
-		return m.first.RoundTrip(r)
+		return d.original.RoundTrip(r)
 	}
-	return m.second.RoundTrip(r)
+	return d.other.RoundTrip(r)
 }
 
-// What the service can answer within stalenessBound, it is asked in time: after it has been down for long, after all
-// watches broke at once, and after all of a fleet were moved.
-func TestNobodyIsLateWhereTheServiceCanAnswer(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		each time.Duration
-		do   func(d *busyDiscovery, fleet []*followed)
+// If the service can answer the whole fleet within stalenessBound, every gateway must receive a list within that time
+// after the service was down for long, all watches broke at once or the address changed for the whole fleet. Gateways
+// that back off for too long would leave the service idle and receive their lists late.
+func TestFleetReceivesListsWithinStalenessBound(t *testing.T) {
+	for _, test := range []struct {
+		name        string
+		serviceTime time.Duration
+		disrupt     func(d *queueingDiscovery, fleet []*runningWatcher)
 	}{
-		{"down for 8 s", 16 * time.Millisecond, func(d *busyDiscovery, _ []*followed) {
+		{"down for 8 s", 16 * time.Millisecond, func(d *queueingDiscovery, _ []*runningWatcher) {
 			d.stop()
 			time.Sleep(8 * time.Second)
 			d.start()
 		}},
-		{"all watches broke", 16 * time.Millisecond, func(d *busyDiscovery, _ []*followed) { d.breakWatches() }},
-		{"all were moved", 8 * time.Millisecond, func(_ *busyDiscovery, fleet []*followed) {
-			for _, f := range fleet {
-				f.moves <- "elsewhere"
+		{"all watches broke", 16 * time.Millisecond, func(d *queueingDiscovery, _ []*runningWatcher) {
+			d.breakWatches()
+		}},
+		{"address changed for all", 8 * time.Millisecond, func(_ *queueingDiscovery, fleet []*runningWatcher) {
+			for _, w := range fleet {
+				w.addresses <- "elsewhere"
 			}
 		}},
-		{"down for 8 s, and holds asks", 16 * time.Millisecond, func(d *busyDiscovery, _ []*followed) {
-			d.holds = true
+		{"down for 8 s, holding requests", 16 * time.Millisecond, func(d *queueingDiscovery, _ []*runningWatcher) {
+			d.holdsWhenDown = true
 			d.stop()
 			time.Sleep(8 * time.Second)
 			d.start()
 		}},
-		{"down for 8 s, with seven in ten killed", 16 * time.Millisecond, func(d *busyDiscovery, fleet []*followed) {
+		{"down for 8 s, 70% restarted", 16 * time.Millisecond, func(d *queueingDiscovery, fleet []*runningWatcher) {
 			d.stop()
 			time.Sleep(4 * time.Second)
-			endAll(fleet[:210])
-			copy(fleet, followAll(d, 210))
+			stopWatchers(fleet[:210])
+			copy(fleet, startWatchers(d, 210))
 			time.Sleep(4 * time.Second)
 			d.start()
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newBusyDiscovery(c.each)
-				fleet := followAll(d, 300)
+				discovery := newQueueingDiscovery(test.serviceTime)
+				fleet := startWatchers(discovery, 300)
 				time.Sleep(30 * time.Second)
-				late(t, fleet, time.Now().Add(-serviceIdleTimeout), "at the start")
-				c.do(d, fleet)
+				checkAllConfirmed(t, fleet, time.Now().Add(-serviceIdleTimeout), "at the start")
+				test.disrupt(discovery, fleet)
 				start := time.Now()
 				time.Sleep(stalenessBound)
-				late(t, fleet, start, c.name)
-				endAll(fleet)
+				checkAllConfirmed(t, fleet, start, test.name)
+				stopWatchers(fleet)
 			})
 		})
 	}
 }
 
-// Where it can't answer all of a fleet in that time, it is kept busy until it has.
-func TestAServiceIsKeptBusyUntilAllAreAnswered(t *testing.T) {
-	const each = 70 * time.Millisecond
+// If the service can't answer the whole fleet within stalenessBound, it must be busy until it has answered all of it.
+func TestServiceIsBusyUntilFleetHasLists(t *testing.T) {
+	const serviceTime = 70 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		d := newBusyDiscovery(each)
-		d.holds = true
-		fleet := followAll(d, 300)
+		discovery := newQueueingDiscovery(serviceTime)
+		discovery.holdsWhenDown = true
+		fleet := startWatchers(discovery, 300)
 		time.Sleep(60 * time.Second)
-		d.stop()
+		discovery.stop()
 		time.Sleep(8 * time.Second)
-		d.start()
+		discovery.start()
 		start := time.Now()
-		time.Sleep(300*each + maxBackoff + maxQueueWait)
-		late(t, fleet, start, "down for 8 s")
-		endAll(fleet)
+		time.Sleep(300*serviceTime + maxBackoff + maxQueueWait)
+		checkAllConfirmed(t, fleet, start, "down for 8 s")
+		stopWatchers(fleet)
 	})
 }
 
-// An empty line confirms the list, but only after the watch has said what had changed before it.
-func TestEmptyLinesConfirmTheList(t *testing.T) {
+// A heartbeat confirms the list, but only after the watch has sent its first list, which has what changed before the
+// watch began.
+func TestHeartbeatsConfirmList(t *testing.T) {
 	addr := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		for _, line := range []string{"", `{"seq":7,"whole":false,"hosts":[]}`, "", ""} {
 			fmt.Fprintln(w, line)
@@ -324,14 +333,15 @@
 		}
 	})
 	var received []EndpointList
-	f := newWatcher(&http.Transport{}, prompt, addr, 5, func(l EndpointList) { received = append(received, l) })
-	err := f.watch(t.Context())
+	testWatcher := newWatcher(&http.Transport{}, agentPolicy, addr, 5,
+		func(list EndpointList) { received = append(received, list) })
+	err := testWatcher.watch(t.Context())
 	if len(received) != 3 {
-		t.Fatalf("received %+v, ended with %v", received, err)
+		t.Fatalf("got lists %+v and error %v, want 3 lists", received, err)
 	}
-	for _, l := range received {
-		if l.Version != 7 || l.Full || len(l.Endpoints) != 0 {
-			t.Errorf("received %+v", l)
+	for _, list := range received {
+		if list.Version != 7 || list.Full || len(list.Endpoints) != 0 {
+			t.Errorf("got list %+v, want an empty list of changes of version 7", list)
 		}
 	}
 }
--- a/internal/frontdoor/fuzz_test.go
+++ b/internal/frontdoor/fuzz_test.go
@@ -17,54 +17,58 @@
 	"herontiller/internal/gateway"
 )
 
-// The fuzz targets take what comes from outside: whatever it is, it is refused or lies in range, and nothing breaks.
+// The fuzz targets pass arbitrary external input to the parsers. Every input must be rejected or parsed to values in
+// range, without a panic.
 
-func FuzzTerms(f *testing.F) {
+// FuzzParseTerms parses the terms of requests, the value of X-Call-Terms.
+func FuzzParseTerms(f *testing.F) {
 	for _, s := range []string{"units=2,spread=2,first=1", "units=NaN,spread=1,first=0", "units=1e309,spread=1,first=0",
 		"units=-1,spread=1,first=0", "units=1,spread=3,first=0", "units=1,units=1,spread=1,first=0", "", ",=,",
 		"first=9223372036854775808,spread=1,units=1", "units=0x1p3, spread=2 ,first=0,new=1"} {
 		f.Add(s)
 	}
-	c, err := parseConfig([]byte(testConfig))
+	cfg, err := parseConfig([]byte(testConfig))
 	if err != nil {
 		f.Fatal(err)
 	}
-	clients := NewServer(c, nil)
+	server := NewServer(cfg, nil)
 	f.Fuzz(func(t *testing.T, text string) {
-		var r gateway.Request
-		if clients.parseTerms(text, &r) != nil {
+		var req gateway.Request
+		if server.parseTerms(text, &req) != nil {
 			return
 		}
-		if s := c.Settings; !(r.Units > 0) || r.Units > s.LargestUnits || math.IsInf(r.Units, 0) || r.Spread < 1 ||
-			r.Spread > s.Gateways || r.FirstGateway < 0 || r.FirstGateway >= s.Gateways {
-			t.Errorf("%q was taken as %+v", text, r)
+		if s := cfg.Settings; !(req.Units > 0) || req.Units > s.LargestUnits || math.IsInf(req.Units, 0) ||
+			req.Spread < 1 || req.Spread > s.Gateways || req.FirstGateway < 0 || req.FirstGateway >= s.Gateways {
+			t.Errorf("%q: got %+v, want an error or values in range", text, req)
 		}
 	})
 }
 
-func FuzzRequestHead(f *testing.F) {
+// FuzzParseRequest parses the requests of clients.
+func FuzzParseRequest(f *testing.F) {
 	f.Add("GET /look HTTP/1.1\r\nHost: a\r\nRequest-Id: 9b1f03aa5c7e2d41\r\nRequest-Class: look\r\nX-Tier: basic\r\n" +
 		"X-Api-Key: 00000000b4d65521\r\nRequest-Timeout: 0.480\r\nX-Call-Terms: units=2,spread=1,first=1\r\n\r\n")
 	f.Add("POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: 70000\r\n\r\n")
-	c, err := parseConfig([]byte(testConfig))
+	cfg, err := parseConfig([]byte(testConfig))
 	if err != nil {
 		f.Fatal(err)
 	}
-	clients := NewServer(c, nil)
+	server := NewServer(cfg, nil)
 	f.Fuzz(func(t *testing.T, text string) {
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
 			return
 		}
-		parsed, err := clients.parse(r)
-		req, msg, timeout := parsed.req, parsed.forwarded, parsed.timeout
-		if err == nil && (timeout <= 0 || req.Customer >= customerLimit || msg.header.Get("Request-Id") == "") {
-			t.Errorf("%q was taken as %+v %+v, timeout %v", text, req, msg, timeout)
+		parsed, err := server.parse(r)
+		req, forwarded, timeout := parsed.req, parsed.forwarded, parsed.timeout
+		if err == nil && (timeout <= 0 || req.Customer >= customerLimit || forwarded.header.Get("Request-Id") == "") {
+			t.Errorf("%q: got %+v, %+v and timeout %v, want an error or values in range", text, req, forwarded, timeout)
 		}
 	})
 }
 
-func FuzzAnswer(f *testing.F) {
+// FuzzReadResponse reads the responses of backends.
+func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-RateLimit-Used: 86\r\n\r\nok"))
 	f.Add([]byte("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nok"))
@@ -72,26 +76,28 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\n\r\nno length"))
 	f.Add([]byte("\x00\xff noise"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		b := NewBackends(config(t))
-		near, far := net.Pipe()
-		defer near.Close()
+		backends := NewBackends(config(t))
+		gatewayEnd, backendEnd := net.Pipe()
+		defer gatewayEnd.Close()
 		go func() {
-			far.Write(text) // ends with the pipe
-			far.Close()
+			backendEnd.Write(text) // returns when the pipe is closed
+			backendEnd.Close()
 		}()
-		c := &pooledConn{Conn: near, endpoint: &endpointPool{}}
-		c.limited.source = near
-		c.reader = bufio.NewReaderSize(&c.limited, 2<<10)
-		r := &attemptOutcome{result: gateway.NotSent}
-		_, err := b.readResponse(context.Background(), c, &forwardedRequest{method: http.MethodGet}, r)
-		if err != nil && r.result != gateway.NotSent || len(r.body) > maxBody || r.hasUsage && !(r.usage >= 0 && r.usage <= maxUsagePercent) {
-			t.Errorf("%q was read as %+v, %v", text, r, err)
+		conn := &pooledConn{Conn: gatewayEnd, endpoint: &endpointPool{}}
+		conn.limited.source = gatewayEnd
+		conn.reader = bufio.NewReaderSize(&conn.limited, 2<<10)
+		outcome := &attemptOutcome{result: gateway.NotSent}
+		_, err := backends.readResponse(context.Background(), conn, &forwardedRequest{method: http.MethodGet}, outcome)
+		if err != nil && outcome.result != gateway.NotSent || len(outcome.body) > maxBody ||
+			outcome.hasUsage && !(outcome.usage >= 0 && outcome.usage <= maxUsagePercent) {
+			t.Errorf("%q: got %+v and error %v, want an error or values in range", text, outcome, err)
 		}
 	})
 }
 
-func FuzzDiscoveryLine(f *testing.F) {
-	f.Add([]byte(`{"seq":42,"whole":true,"hosts":[` + fmt.Sprintf(entry, 7, "Ready") + `]}`))
+// FuzzEndpointList updates a loop with a list from discovery. After an empty full list no backend may be left.
+func FuzzEndpointList(f *testing.F) {
+	f.Add([]byte(`{"seq":42,"whole":true,"hosts":[` + fmt.Sprintf(entryFormat, 7, "Ready") + `]}`))
 	f.Add([]byte(`{"seq":-1,"hosts":[{},{"host":"s","health":"Ready","born_ms":-5},{"host":"s","health":"Gone"}]}`))
 	f.Add([]byte(`{"hosts":[{"host":"s","dial":"x","health":"Ready","born_ms":9223372036854775807}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -99,56 +105,60 @@
 		if json.Unmarshal(text, &list) != nil {
 			return
 		}
-		c := config(t)
-		l, err := NewLoop(c, NewBackends(c))
+		cfg := config(t)
+		loop, err := NewLoop(cfg, NewBackends(cfg))
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.Update(list)
-		l.Update(EndpointList{Full: true})
-		if n := len(l.backends.byHost); n != 0 {
-			t.Errorf("%d backends are left after an empty list", n)
+		loop.Update(list)
+		loop.Update(EndpointList{Full: true})
+		if n := len(loop.backends.byHost); n != 0 {
+			t.Errorf("got %d backends after an empty full list, want 0", n)
 		}
 	})
 }
 
-func FuzzConfig(f *testing.F) {
+// FuzzParseConfig parses configurations. A gateway must be able to start with each valid one.
+func FuzzParseConfig(f *testing.F) {
 	f.Add([]byte(testConfig))
 	f.Add([]byte(strings.Replace(testConfig, "20000000", "-1", 1)))
 	f.Add([]byte(strings.Replace(testConfig, `"burst":1000`, `"burst":1e400`, 1)))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c, err := parseConfig(text)
+		cfg, err := parseConfig(text)
 		if err != nil {
 			return
 		}
-		if _, err := NewLoop(c, NewBackends(c)); err != nil {
-			t.Errorf("%q was taken, but no gateway starts with it: %v", text, err)
+		if _, err := NewLoop(cfg, NewBackends(cfg)); err != nil {
+			t.Errorf("%q: got no error from parseConfig, but error %v from NewLoop, want none", text, err)
 		}
 	})
 }
 
-// A list without an end must not fill the memory of an instance, requested or pushed.
-func TestListsAreBounded(t *testing.T) {
-	endless := roundTrip(func(*http.Request) (*http.Response, error) {
-		body := io.MultiReader(strings.NewReader(`{"seq":1,"whole":true,"hosts":["`), repeat("x"))
+// An endless list must not exhaust the memory of a gateway, whether it is requested or received in a watch.
+func TestListSizeIsLimited(t *testing.T) {
+	endlessList := roundTripFunc(func(*http.Request) (*http.Response, error) {
+		body := io.MultiReader(strings.NewReader(`{"seq":1,"whole":true,"hosts":["`), endlessReader("x"))
 		return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(body)}, nil
 	})
-	f := newWatcher(endless, prompt, "agent", 1, func(EndpointList) { t.Error("an endless list was taken") })
-	if err := f.fetch(t.Context()); !errors.Is(err, errTooLarge) {
-		t.Errorf("the endless list ended with %v", err)
+	testWatcher := newWatcher(endlessList, agentPolicy, "agent", 1,
+		func(EndpointList) { t.Error("got an update from an endless list, want none") })
+	if err := testWatcher.fetch(t.Context()); !errors.Is(err, errTooLarge) {
+		t.Errorf("fetch of an endless list: got error %v, want errTooLarge", err)
 	}
-	if err := f.watch(t.Context()); !errors.Is(err, errTooLarge) {
-		t.Errorf("the endless line ended with %v", err)
+	if err := testWatcher.watch(t.Context()); !errors.Is(err, errTooLarge) {
+		t.Errorf("watch with an endless list: got error %v, want errTooLarge", err)
 	}
 }
 
-// repeat is a reader without an end. Should nothing else stop its reader, it gives up after far more than any list.
-func repeat(text string) io.Reader {
+// endlessReader returns a reader of the repeated text. It ends far beyond the size of any list, so that a test without
+// the limit fails instead of running forever.
+func endlessReader(text string) io.Reader {
 	return io.LimitReader(readerFunc(func(p []byte) (int, error) {
 		return copy(p, bytes.Repeat([]byte(text), len(p))), nil
 	}), 64*maxListBytes)
 }
 
+// readerFunc is an io.Reader that calls a function.
 type readerFunc func([]byte) (int, error)
 
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
--- a/internal/frontdoor/lease_test.go
+++ b/internal/frontdoor/lease_test.go
@@ -9,70 +9,72 @@
 	"herontiller/internal/gateway"
 )
 
-// Where the list must be requested, a new process is not ready, and sends nothing by the list of its configuration,
-// until discovery has sent one; after firstListTimeout it is ready all the same. Where lists are pushed, it is ready
-// at once.
-func TestReadyWithTheFirstList(t *testing.T) {
-	c := config(t)
-	if !NewServer(c, mustLoop(t, c)).ready() {
-		t.Error("not ready where lists are pushed")
+// If the list must be requested, a new process must not be ready, nor use the saved list of its configuration, until
+// discovery has sent a list. After firstListTimeout it is ready even without one. If lists are pushed, a process is
+// ready immediately.
+func TestReadyAfterFirstList(t *testing.T) {
+	cfg := config(t)
+	if !NewServer(cfg, newTestLoop(t, cfg)).ready() {
+		t.Error("got a process that is not ready with pushed lists, want it ready immediately")
 	}
-	c.Settings.AskForList = true
-	c.SavedList = ready("127.0.0.1:7")
-	loop := mustLoop(t, c)
-	clients := NewServer(c, loop)
-	if clients.ready() {
-		t.Error("ready without a list")
+	cfg.Settings.AskForList = true
+	cfg.SavedList = ready("127.0.0.1:7")
+	loop := newTestLoop(t, cfg)
+	server := NewServer(cfg, loop)
+	if server.ready() {
+		t.Error("got a process that is ready without a list from discovery, want it not ready")
 	}
-	patience := time.Second
-	ask := func(id gateway.RequestID) finalResponse {
-		msg := &forwardedRequest{method: http.MethodGet, target: "/look", host: "origin.svc", header: http.Header{}}
-		a, err := loop.Serve(t.Context(), gateway.Request{ID: id, Customer: 1, Class: "look", Plan: "basic", Units: 1,
-			Patience: patience, Spread: 2}, msg)
+	timeout := time.Second
+	sendRequest := func(id gateway.RequestID) finalResponse {
+		forwarded := &forwardedRequest{method: http.MethodGet, target: "/look", host: "origin.svc",
+			header: http.Header{}}
+		response, err := loop.Serve(t.Context(), gateway.Request{ID: id, Customer: 1, Class: "look", Plan: "basic",
+			Units: 1, Patience: timeout, Spread: 2}, forwarded)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return a
+		return response
 	}
-	if a := ask(1); a.kind != rejected || a.retryAfter <= 0 {
-		t.Errorf("by the list of its configuration: %+v", a)
+	if response := sendRequest(1); response.kind != rejected || response.retryAfter <= 0 {
+		t.Errorf("got response %+v with only the saved list, want a rejection with Retry-After", response)
 	}
-	clients.started = clients.started.Add(-firstListTimeout)
-	if !clients.ready() {
-		t.Errorf("not ready after %v", firstListTimeout)
+	server.started = server.started.Add(-firstListTimeout)
+	if !server.ready() {
+		t.Errorf("got a process that is not ready after %v, want it ready without a list", firstListTimeout)
 	}
-	clients.started = time.Now()
+	server.started = time.Now()
 	addr := serve(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
 	loop.Update(ready(addr))
-	if !clients.ready() {
-		t.Error("not ready with a list")
+	if !server.ready() {
+		t.Error("got a process that is not ready with a list from discovery, want it ready")
 	}
-	if a := ask(2); a.kind != served {
-		t.Errorf("by a list that discovery sent: %+v", a)
+	if response := sendRequest(2); response.kind != served {
+		t.Errorf("got response %+v with a list from discovery, want it served", response)
 	}
 }
 
-func mustLoop(t *testing.T, c Config) *Loop {
+func newTestLoop(t *testing.T, cfg Config) *Loop {
 	t.Helper()
-	loop, err := NewLoop(c, NewBackends(c))
+	loop, err := NewLoop(cfg, NewBackends(cfg))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return loop
 }
 
-// The lease of a list ends, with the time that a connection may take to come up, before what discovery may have had
-// since counts as known.
-func TestListLeaseEndsInTime(t *testing.T) {
-	c := config(t)
-	if lease := listLease(c); lease != 0 {
-		t.Errorf("a lease of %v where lists are pushed", lease)
+// The lease of a list plus the time for opening a connection must be shorter than stalenessBound: after that time the
+// gateway is expected to know every change that discovery received after it had confirmed the list.
+func TestListLeaseEndsWithinStalenessBound(t *testing.T) {
+	cfg := config(t)
+	if lease := listLease(cfg); lease != 0 {
+		t.Errorf("got a lease of %v for pushed lists, want 0", lease)
 	}
-	c.Settings.AskForList = true
-	for _, connect := range []time.Duration{50 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second} {
-		c.Connections.ConnectTimeout = connect
-		if lease := listLease(c); lease+connect >= stalenessBound || lease < stalenessBound/2 {
-			t.Errorf("a lease of %v with connections that take up to %v", lease, connect)
+	cfg.Settings.AskForList = true
+	for _, connectTimeout := range []time.Duration{50 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second} {
+		cfg.Connections.ConnectTimeout = connectTimeout
+		if lease := listLease(cfg); lease+connectTimeout >= stalenessBound || lease < stalenessBound/2 {
+			t.Errorf("got lease %v for connect timeout %v, want at least half of stalenessBound, and a sum below it",
+				lease, connectTimeout)
 		}
 	}
 }
--- a/internal/frontdoor/pace_test.go
+++ b/internal/frontdoor/pace_test.go
@@ -12,117 +12,126 @@
 	"herontiller/internal/gateway"
 )
 
-// One hiccup ends the watches of all instances at once. Discovery must be able to answer them all soon, though it takes
-// 70 ms over each request and refuses those at once that would have to wait for longer than 2 s.
-func TestInstancesReturnToDiscoveryOneByOne(t *testing.T) {
-	const doors, each, patience, length = 80, 70 * time.Millisecond, 2 * time.Second, 15 * time.Second
+// After a failure that ends the watches of all gateways at once, discovery must be able to answer all of them soon. It
+// needs 70 ms for each request and immediately rejects requests that would have to wait longer than 2 s.
+func TestWatchesReconnectAfterSimultaneousFailure(t *testing.T) {
+	const gateways, serviceTime, queueTimeout, duration = 80, 70 * time.Millisecond, 2 * time.Second, 15 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := context.WithTimeout(t.Context(), length)
+		ctx, stop := context.WithTimeout(t.Context(), duration)
 		defer stop()
 		start := time.Now()
 		var mu sync.Mutex
-		free := start.Add(patience) // the first requests have just come, all together, and failed
-		back, last, asks := 0, time.Duration(0), 0
-		busy := func(first bool) roundTrip {
+		freeAt := start.Add(queueTimeout) // the first requests, all at once, have filled the queue
+		reconnected, lastReconnect, requests := 0, time.Duration(0), 0
+		newDiscovery := func(rejectFirst bool) roundTripFunc {
 			return func(r *http.Request) (*http.Response, error) {
-				answer := &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}
-				if first {
-					first = false
-					return answer, nil
+				rejection := &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}
+				if rejectFirst {
+					rejectFirst = false
+					return rejection, nil
 				}
 				mu.Lock()
-				asks++
-				turn := time.Unix(0, max(free.UnixNano(), time.Now().UnixNano())).Add(each)
-				wait := time.Until(turn)
-				if wait > patience {
+				requests++
+				servedAt := time.Unix(0, max(freeAt.UnixNano(), time.Now().UnixNano())).Add(serviceTime)
+				wait := time.Until(servedAt)
+				if wait > queueTimeout {
 					mu.Unlock()
-					return answer, nil
+					return rejection, nil
 				}
-				free = turn
+				freeAt = servedAt
 				mu.Unlock()
 				sleep(r.Context(), wait)
 				mu.Lock()
-				back, last = back+1, time.Since(start)
+				reconnected, lastReconnect = reconnected+1, time.Since(start)
 				mu.Unlock()
-				<-ctx.Done() // the watch lasts
+				<-ctx.Done() // the watch stays open
 				return nil, ctx.Err()
 			}
 		}
-		var all sync.WaitGroup
-		for range doors {
-			all.Go(func() {
-				newWatcher(busy(true), retryPolicy{sharedService: true}, "discovery", 1, func(EndpointList) {}).keepWatching(ctx)
+		var watchers sync.WaitGroup
+		for range gateways {
+			watchers.Go(func() {
+				newWatcher(newDiscovery(true), retryPolicy{sharedService: true}, "discovery", 1,
+					func(EndpointList) {}).keepWatching(ctx)
 			})
 		}
-		all.Wait()
-		t.Logf("%d doors back after %v and %d asks", back, last, asks)
-		if back < doors {
-			t.Errorf("%d of %d doors were back after %v and %d asks", back, doors, length, asks)
+		watchers.Wait()
+		t.Logf("%d gateways reconnected after %v and %d requests", reconnected, lastReconnect, requests)
+		if reconnected < gateways {
+			t.Errorf("got %d of %d gateways reconnected after %v and %d requests, want all", reconnected, gateways,
+				duration, requests)
 		}
 	})
 }
 
-// Pauses are drawn from all of what a failure calls for, and never from more.
-func TestPausesStayInBounds(t *testing.T) {
-	const grace, mustAsk = time.Second, 800 * time.Millisecond
+// The backoff after a failure must be random over the full range up to its limit, and never reach the limit.
+func TestBackoffUsesItsFullRange(t *testing.T) {
+	const grace, staleAfterFailure = time.Second, 800 * time.Millisecond
 	service := retryPolicy{sharedService: true, drainGrace: grace}
-	strict := retryPolicy{sharedService: true, drainGrace: grace, staleAfterFailure: mustAsk}
-	broken, full := io.ErrUnexpectedEOF, &statusError{elapsed: 4 * time.Millisecond}
-	late := &statusError{elapsed: maxQueueWait}
-	for _, c := range []struct {
+	staleSoon := retryPolicy{sharedService: true, drainGrace: grace, staleAfterFailure: staleAfterFailure}
+	reset, fastRejection := io.ErrUnexpectedEOF, &statusError{elapsed: 4 * time.Millisecond}
+	slowRejection := &statusError{elapsed: maxQueueWait}
+	for _, test := range []struct {
 		name    string
-		pace    retryPolicy
+		policy  retryPolicy
 		failure failure
-		most    time.Duration
+		limit   time.Duration
 	}{
-		{"a broken watch", service, failure{err: broken, consecutive: 1, hasList: true, slack: 4 * time.Second}, baseBackoff},
-		{"four breaks", service, failure{err: broken, consecutive: 4, hasList: true}, 8 * baseBackoff},
-		{"many breaks", service, failure{err: broken, consecutive: 1 << 40, hasList: true}, maxBackoff},
-		{"many breaks, and no list", service, failure{err: broken, consecutive: 1 << 40}, maxBackoffWithoutList},
-		{"refused with time left", service, failure{err: full, consecutive: 2, hasList: true, slack: 2 * time.Second}, 2 * time.Second},
-		{"refused with little time left", service, failure{err: full, consecutive: 2, hasList: true, slack: 1}, baseBackoff},
-		{"refused with no time left", service, failure{err: full, consecutive: 2, hasList: true, slack: -time.Hour}, maxBackoffOverloaded},
-		{"refused often, and no list", service, failure{err: full, consecutive: 1 << 40}, baseBackoff},
-		{"refused late", service, failure{err: late, consecutive: 1, hasList: true, slack: 4 * time.Second}, baseBackoff},
-		{"refused late many times", service, failure{err: late, consecutive: 1 << 40, hasList: true}, maxBackoff},
-		{"refused late many times, and no list", service, failure{err: late, consecutive: 1 << 40}, maxBackoffWithoutList},
-		{"refused where one must ask soon", strict, failure{err: full, consecutive: 1, hasList: true}, mustAsk},
-		{"an agent", retryPolicy{drainGrace: grace}, failure{err: broken, consecutive: 1}, grace / 4},
-		{"an agent, many times", retryPolicy{drainGrace: grace}, failure{err: full, consecutive: 1 << 40}, grace / 4},
+		{"one reset", service, failure{err: reset, consecutive: 1, hasList: true, slack: 4 * time.Second}, baseBackoff},
+		{"four resets", service, failure{err: reset, consecutive: 4, hasList: true}, 8 * baseBackoff},
+		{"many resets", service, failure{err: reset, consecutive: 1 << 40, hasList: true}, maxBackoff},
+		{"many resets, no list", service, failure{err: reset, consecutive: 1 << 40}, maxBackoffWithoutList},
+		{"overloaded, much slack", service, failure{err: fastRejection, consecutive: 2, hasList: true,
+			slack: 2 * time.Second}, 2 * time.Second},
+		{"overloaded, little slack", service, failure{err: fastRejection, consecutive: 2, hasList: true, slack: 1},
+			baseBackoff},
+		{"overloaded, no slack", service, failure{err: fastRejection, consecutive: 2, hasList: true, slack: -time.Hour},
+			maxBackoffOverloaded},
+		{"overloaded many times, no list", service, failure{err: fastRejection, consecutive: 1 << 40}, baseBackoff},
+		{"one slow rejection", service, failure{err: slowRejection, consecutive: 1, hasList: true,
+			slack: 4 * time.Second}, baseBackoff},
+		{"many slow rejections", service, failure{err: slowRejection, consecutive: 1 << 40, hasList: true}, maxBackoff},
+		{"many slow rejections, no list", service, failure{err: slowRejection, consecutive: 1 << 40},
+			maxBackoffWithoutList},
+		{"overloaded, list stale soon", staleSoon, failure{err: fastRejection, consecutive: 1, hasList: true},
+			staleAfterFailure},
+		{"agent", retryPolicy{drainGrace: grace}, failure{err: reset, consecutive: 1}, grace / 4},
+		{"agent, many failures", retryPolicy{drainGrace: grace}, failure{err: fastRejection, consecutive: 1 << 40},
+			grace / 4},
 	} {
 		longest := time.Duration(0)
 		for range 1000 {
-			longest = max(longest, c.pace.backoff(c.failure))
+			longest = max(longest, test.policy.backoff(test.failure))
 		}
-		if longest >= c.most || longest < c.most*3/4 {
-			t.Errorf("%s: pauses up to %v, %v wanted", c.name, longest, c.most)
+		if longest >= test.limit || longest < test.limit*3/4 {
+			t.Errorf("%s: got backoffs up to %v, want them up to nearly %v", test.name, longest, test.limit)
 		}
 	}
 }
 
-// An instance that starts with an old list of a large fleet has DrainGrace to learn which of its backends drain, where
-// an agent of its own machine knows it: it sends a request before anything else can happen, and again soon if that
-// failed. The same holds from the moment on in which an agent that was silent answers again.
-func TestAnAgentIsRequestedAtOnce(t *testing.T) {
+// A gateway that starts with an old list has DrainGrace to learn from the agent on its own machine which backends are
+// draining. Even in a large fleet it must send a request before anything else and, if that fails, retry within
+// DrainGrace, since the same time limit applies from the moment when an unresponsive agent responds again.
+func TestAgentIsRequestedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 		defer stop()
 		start := time.Now()
-		var requested []time.Duration
-		silent := roundTrip(func(r *http.Request) (*http.Response, error) {
-			requested = append(requested, time.Since(start))
+		var requestTimes []time.Duration
+		silentAgent := roundTripFunc(func(r *http.Request) (*http.Response, error) {
+			requestTimes = append(requestTimes, time.Since(start))
 			<-r.Context().Done()
 			return nil, r.Context().Err()
 		})
 		const grace = 400 * time.Millisecond
-		p := newRetryPolicy(Config{Settings: gateway.Settings{Gateways: 300, DrainGrace: grace}})
-		newWatcher(silent, p, "agent", 1, func(EndpointList) {}).keepWatching(ctx)
-		if len(requested) == 0 || requested[0] > 0 {
-			t.Fatalf("asked first at %v", requested)
+		policy := newRetryPolicy(Config{Settings: gateway.Settings{Gateways: 300, DrainGrace: grace}})
+		newWatcher(silentAgent, policy, "agent", 1, func(EndpointList) {}).keepWatching(ctx)
+		if len(requestTimes) == 0 || requestTimes[0] > 0 {
+			t.Fatalf("got requests at %v, want the first at 0s", requestTimes)
 		}
-		for i, at := range requested[1:] {
-			if gap := at - requested[i]; gap >= grace {
-				t.Errorf("a silent agent was asked again after %v", gap)
+		for i, requestTime := range requestTimes[1:] {
+			if gap := requestTime - requestTimes[i]; gap >= grace {
+				t.Errorf("got %v between two requests to an unresponsive agent, want less than DrainGrace", gap)
 			}
 		}
 	})
