--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,5 +1,5 @@
 // Package budget computes the shadow price at which requests spend a given budget. The shadow price is the value that
-// one unit of the budget is worth: each request is admitted with a probability that falls with the price and with the
+// one unit of the budget must gain: each request is admitted with a probability that falls with the price and with the
 // request's cost, and rises with its value. The package holds no settings of the policy.
 package budget
 
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -8,7 +8,7 @@
 // Admission of requests.
 
 const (
-	medianWindow = 256 // latest arrivals whose median value is the boundary between the tiers
+	medianWindow = 256 // number of latest arrivals whose median value is the boundary between the tiers
 )
 
 // onRequest admits, queues or rejects a request: it checks the quota, the ceiling, the price of excess and
@@ -40,8 +40,8 @@
 	}
 }
 
-// admit sends a request that is within its customer's limits, if a backend is available and a slot of the
-// request's tier. Otherwise it rejects the request at once.
+// admit sends a request that is within its customer's limits, if a backend and a slot for the request's tier
+// are available. Otherwise it rejects the request at once.
 func (g *Gateway) admit(request *requestState) {
 	customer, plan := request.customer, request.customer.plan
 	value := request.class.Value * plan.ValueFactor * request.units
@@ -74,8 +74,8 @@
 	g.emit(SetTimer{After: request.deadline - g.now, Token: request.seq})
 }
 
-// isHighValue reports whether the value is above the recent median, and adds it to the values of the next
-// median.
+// isHighValue reports whether the value of a request is above the median of the latest arrivals, which puts
+// the request in the high tier. It adds the value to those of which the next median is taken.
 func (g *Gateway) isHighValue(value float64) bool {
 	if g.recentValues = append(g.recentValues, value); len(g.recentValues) > medianWindow {
 		g.recentValues = g.recentValues[1:]
--- a/internal/gateway/advice.go
+++ b/internal/gateway/advice.go
@@ -17,9 +17,9 @@
 		wait = (customer.requiredLevel(units) - customer.bucketLevel(g.now)) / max(1, 100-steadyPercent)
 	}
 	if !g.withinCeiling(customer, units) {
-		wait = max(wait, (units-customer.ceilingLevel)*customer.ceilingShares/customer.plan.CeilingRate)
+		wait = max(wait, (units-customer.ceilingLevel)*customer.ceilingShareCount/customer.plan.CeilingRate)
 	}
-	if wait <= 0 { // the limit on attempts in flight: one must end
+	if wait <= 0 { // rejected for another reason, mostly its price, or that too many attempts are in flight
 		return g.retryAfterSlot()
 	}
 	return seconds(min(wait, g.settings.MaxRetryAfter.Seconds()))
--- a/internal/gateway/api.go
+++ b/internal/gateway/api.go
@@ -6,7 +6,8 @@
 // state: two gateways that are given the same seed and events return the same actions. A Gateway is not safe for
 // concurrent use. All times are durations on one monotonic clock with an arbitrary origin.
 //
-// deploy/balancer.toml lists the files that contain decisions as policy.
+// The files that contain the decisions are listed as policy in deploy/balancer.toml. Where their comments say that the
+// specification prescribes a value or a rule, they mean the operators' specification of the ordinary path of a request.
 package gateway
 
 import (
@@ -89,14 +90,14 @@
 	MaxRetryAfter    time.Duration // longest Retry-After that clients follow; 0: they follow none
 	SubscribeToList  bool          // updates of the list of backends are sent on subscription only
 	ListLease        time.Duration // how long a list is valid after discovery confirmed it; 0: forever
-	LoadColumns      []string      // columns of a load report, in order
+	LoadColumns      []string      // names of the numbers of a load report, in order
 	LoadInAnswers    bool          // load reports come with answers as well as with probe results
 	AnswerGrace      time.Duration // how long after a client's timeout a final answer still counts
 	DrainGrace       time.Duration // how long attempts may still be sent to a draining backend
 	ColdCapacity     float64       // least share of its full capacity that a backend has when it has just started
 	WarmUpTime       time.Duration // time from its start until a backend has its full capacity
-	OverloadMultiple float64       // a cold backend that is sent more than this multiple of its present capacity
-	OverloadTime     time.Duration // for this long suffers an overload failure
+	OverloadMultiple float64       // multiple of its present capacity above which a cold backend is overloaded
+	OverloadTime     time.Duration // how long it must be overloaded to suffer an overload failure
 }
 
 // Validate returns an error if a gateway cannot run with the settings.
@@ -109,7 +110,8 @@
 	}
 	if invalid(0, s.ColdCapacity, s.OverloadMultiple, s.MaxRequestUnits, float64(s.MeterPeriod),
 		float64(s.WarmUpTime)) {
-		return errors.New("settings have a number that is negative or not finite")
+		return errors.New("the cold capacity, the overload multiple, the largest request, the meter period and the " +
+			"warm-up time must be finite and at least 0")
 	}
 	for _, class := range s.Classes {
 		if class.TargetLatency <= 0 || class.Deadline <= 0 ||
@@ -123,7 +125,8 @@
 			plan.Rate > 0 && plan.Burst <= 0 ||
 			invalid(0, plan.Rate, plan.Burst, plan.ValueFactor, plan.ExcessValueShare, plan.ExcessCostShare,
 				plan.CeilingRate, plan.CeilingBurst, plan.CeilingSlack, float64(plan.MaxInFlight)) {
-			return fmt.Errorf("plan %q has a quota that cannot be enforced", plan.Name)
+			return fmt.Errorf("plan %q needs a burst if it has a rate, none if it has no limit, and finite numbers of "+
+				"at least 0", plan.Name)
 		}
 	}
 	return nil
@@ -201,16 +204,19 @@
 
 // Outcome reports the end of an attempt. Each Send gets exactly one.
 type Outcome struct {
-	Request      RequestID
-	Backend      BackendID
-	Attempt      int // index of the attempt among the request's sends, from 0
-	Result       Result
-	Duration     time.Duration
-	Final        bool    // the request has ended and needs no final answer from the Gateway any more
-	HasUsage     bool    // UsagePercent is set
-	UsagePercent float64 // the customer's use over all gateways in the last metered period, percent of its rate
-	SettledUnits float64 // true cost in units, where it is settled after the request; else 0
-	Load         []float64
+	Request  RequestID
+	Backend  BackendID
+	Attempt  int // index of the attempt among the request's sends, from 0
+	Result   Result
+	Duration time.Duration
+	Final    bool // the request has ended and needs no final answer from the Gateway any more
+	HasUsage bool // UsagePercent is set
+	// UsagePercent is a reading of the meter: the customer's use over all gateways in the last metered period. It is
+	// in percent of the rate of the customer's plan, or without a rate, the most attempts that were in flight at once
+	// in percent of MaxInFlight.
+	UsagePercent float64
+	SettledUnits float64   // true cost in units, where it is settled after the request; else 0
+	Load         []float64 // load report, in the order of Settings.LoadColumns, if there is one
 }
 
 // AnswerStarted reports that a streamed answer has begun. The attempt can no longer be replaced by another.
@@ -227,7 +233,7 @@
 	Backend  BackendID
 	Result   Result
 	Duration time.Duration
-	Load     []float64
+	Load     []float64 // load report, in the order of Settings.LoadColumns, if there is one
 }
 
 // Timer reports that the timer with this token has expired.
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -9,6 +9,7 @@
 const (
 	latencyWeight = 1.0 / 16 // weight of one answer in the running means of latency
 	maxAttempts   = 3        // most attempts for one request, even if the settings allow more
+	minSlowness   = 0.1      // least slowness of a backend
 )
 
 // send sends an attempt of the request to the backend, in the given slot.
@@ -79,6 +80,7 @@
 		backend.overdue, backend.connectFailures, backend.outlierCount = 0, 0, 0
 		g.lateAgeSum += request.class.lateAge()
 		request.class.meanLatency += latencyWeight * (latency - request.class.meanLatency)
+		// The minimum latencies rise by 1/1024 per answer, to follow changes.
 		request.class.minLatency = min(request.class.meanLatency,
 			request.class.minLatency*(1+latencyWeight*latencyWeight/4))
 		g.meanLatency += latencyWeight * (latency - g.meanLatency)
@@ -96,7 +98,7 @@
 	case NoConnection:
 		g.onConnectFailure(backend)
 	}
-	backend.slowness = max(backend.slowness, 0.1)
+	backend.slowness = max(backend.slowness, minSlowness)
 }
 
 // retry sends a further attempt of a request whose attempts have all failed, in the slot of the last one, and
--- a/internal/gateway/ceiling.go
+++ b/internal/gateway/ceiling.go
@@ -12,17 +12,17 @@
 
 const (
 	maxQueueTargetShare  = 1.0 / 2 // longest time in the queue, as a share of the class's target latency
-	maxQueueTimeoutShare = 1.0 / 4 // the same, as a share of the client's remaining time, which must allow a retry
-	maxInFlightCredit    = 1.0     // most time in flight that a gateway with a share below one saves up, seconds
+	maxQueueTimeoutShare = 1.0 / 4 // longest time in the queue, as a share of the client's timeout, to allow a retry
+	maxInFlightCredit    = 1.0     // most time in flight that a gateway saves up whose share is below one, seconds
 )
 
-// newLimits returns the limits of a customer of the plan. It assumes that all of them were used up when this gateway
-// started, as they may have been before a restart.
-func (g *Gateway) newLimits(plan *Plan, set shares.Position) limits {
-	shareCount := set.BucketShares(plan.CeilingBurst, g.settings.MaxRequestUnits)
-	return limits{usage: g.planUsageOf(plan), admissionProbability: 1, ceilingShares: float64(shareCount),
-		hasCeilingShare: set.HasShare(shareCount), ceilingLevelAt: g.startedAt,
-		inFlightLimit: set.IntShare(plan.MaxInFlight), inFlightCreditAt: g.startedAt}
+// newLocalState returns the local state of a customer of the plan, for this gateway's position among the customer's
+// gateways. It assumes that all limits were used up when this gateway started, as they may have been before a restart.
+func (g *Gateway) newLocalState(plan *Plan, position shares.Position) localState {
+	shareCount := position.BucketShares(plan.CeilingBurst, g.settings.MaxRequestUnits)
+	return localState{usage: g.planUsageOf(plan), admissionProbability: 1, ceilingShareCount: float64(shareCount),
+		hasCeilingShare: position.HasShare(shareCount), ceilingLevelAt: g.startedAt,
+		inFlightLimit: position.IntShare(plan.MaxInFlight), inFlightCreditAt: g.startedAt}
 }
 
 // withinCeiling refills this gateway's share of the token bucket of the customer's ceiling and reports whether it
@@ -34,8 +34,8 @@
 		return true
 	}
 	refill := customer.plan.CeilingRate * (g.now - customer.ceilingLevelAt).Seconds()
-	customer.ceilingLevel = min(customer.plan.CeilingBurst, customer.ceilingLevel*customer.ceilingShares+refill) /
-		customer.ceilingShares
+	customer.ceilingLevel = min(customer.plan.CeilingBurst, customer.ceilingLevel*customer.ceilingShareCount+refill) /
+		customer.ceilingShareCount
 	customer.ceilingLevelAt = g.now
 	return customer.hasCeilingShare && customer.ceilingLevel >= units+customer.queuedUnits()
 }
@@ -74,9 +74,9 @@
 }
 
 // enqueue queues a request whose customer is within its quota but at its limit of attempts in flight, and reports
-// whether it did. It does so only if by the mean latency an attempt will end soon enough: with a share of less than
-// one attempt, each request uses up the credit for a moment, and a busy customer's next one often comes a moment too
-// early. A request that could not be sent in time is rejected at once, without waiting.
+// whether it did. It does so only if, by the mean latency, an attempt will end soon enough. The queue is needed where
+// the share is less than one attempt: each request uses up the credit for a moment, and a busy customer's next one
+// often comes a moment too early. A request that could not be sent in time is rejected at once, without waiting.
 func (g *Gateway) enqueue(request *requestState) bool {
 	customer := request.customer
 	customer.queue = slices.DeleteFunc(customer.queue, func(other *requestState) bool { return !other.queued })
@@ -93,7 +93,7 @@
 	return true
 }
 
-// dequeue admits requests from the customer's queue while its limit of attempts in flight allows it.
+// dequeue admits requests from the customer's queue while the limit on its attempts in flight allows it.
 func (g *Gateway) dequeue(customer *customerState) {
 	for len(customer.queue) > 0 && g.withinInFlightLimit(customer) {
 		request := customer.queue[0]
--- a/internal/gateway/concurrency.go
+++ b/internal/gateway/concurrency.go
@@ -7,14 +7,23 @@
 // The concurrency limit N: how many attempts may be in flight at once.
 
 const (
-	badOutcomeShare      = 0.05    // share of bad outcomes above which N is lowered, by the design
-	decreaseFactor       = 0.9     // N is lowered to this multiple of the attempts in flight, by the design
-	increaseFactor       = 1.1     // N is raised by this factor in any other second, by the design
-	lateTargetShare      = 0.5     // an attempt older than this share of its target latency counts as late
-	lateLatencyFactor    = 6.0     // so does one older than this multiple of the minimum latency of its class
-	minOutcomes          = 20      // least number of outcomes that badOutcomeShare is applied to
-	badOutcomeDeviations = 3.0     // standard deviations above badOutcomeShare that can occur by chance
-	minMeanWeight        = 1.0 / 4 // least weight of a second; the noise of 300 gateways cancels out
+	// The specification prescribes these three values.
+	badOutcomeShare = 0.05 // share of bad outcomes above which N is lowered
+	decreaseFactor  = 0.9  // N is lowered to this multiple of the attempts in flight
+	increaseFactor  = 1.1  // N is raised by this factor in any other second
+
+	lateTargetShare   = 0.5 // an attempt older than this share of its target latency counts as late
+	lateLatencyFactor = 6.0 // an attempt older than this multiple of its class's minimum latency is late, too
+
+	// minOutcomes is the least number of outcomes that badOutcomeShare is applied to. The fewer sends a
+	// gateway has per second relative to it, the more seconds the means behind N are taken over.
+	minOutcomes = 20
+
+	badOutcomeDeviations = 3.0 // standard deviations above badOutcomeShare that can occur by chance
+
+	// minMeanWeight is the least weight of a second in the means behind N. The means of a gateway with few
+	// sends per second are noisy, but over 300 gateways the noise cancels out.
+	minMeanWeight = 1.0 / 4
 )
 
 // lateAge returns the age in seconds from which an attempt counts as timed out for the concurrency limit.
@@ -22,21 +31,23 @@
 	return min(lateTargetShare*c.TargetLatency.Seconds(), lateLatencyFactor*c.minLatency)
 }
 
-// adjustLimit adjusts the concurrency limit N once a second. By the design's rule, N is lowered by
-// decreaseFactor if more than badOutcomeShare of the outcomes are bad, and else raised by increaseFactor. The
-// exceptions are:
+// adjustLimit adjusts the concurrency limit N once a second. The specification prescribes that N is lowered
+// by decreaseFactor if more than badOutcomeShare of the outcomes are bad (late or rejected), and else raised
+// by increaseFactor. The exceptions are:
 //
 //   - An attempt older than lateAge counts as timed out, whether it has ended or is still in flight. The
 //     client's own timeout comes only when the backends' queues hold only work that no client waits for.
 //   - Sub-rated attempts count as the reduced slots that they occupy, else each of them would raise the limit
 //     that the next decrease starts from.
-//   - Bad outcomes lower N only if they are spread over many backends.
+//   - Bad outcomes lower N only if they are spread over many backends: over more than half as many as there
+//     are bad outcomes, or over more than a third of the ready backends.
 //   - N stays between one half and the whole of sustainableLimit, the attempts in flight that a second's
-//     answers can sustain without being late: by Little's law, any beyond it must be late.
+//     answers can sustain without being late: by Little's law, any beyond it must be late. N is never less
+//     than this gateway's share of one attempt per ready backend.
 //   - In a fleet of many gateways, each has an attempt or two in a second. So the counts are decaying sums
 //     over seconds, and N is raised only if an attempt has ended since it was last lowered.
-//   - Bad outcomes must exceed their share by badOutcomeDeviations standard deviations, as of a few dozen
-//     outcomes more than the share are often bad by chance.
+//   - Bad outcomes must exceed their share by badOutcomeDeviations standard deviations, or be more than half
+//     of all, as of a few dozen outcomes more than the share are often bad by chance.
 func (g *Gateway) adjustLimit() {
 	weight := max(minMeanWeight, min(0.5, g.sendRate/minOutcomes))
 	affectedBackends, readyBackends := 0, g.ranking.Len()-g.unavailable.Len()
@@ -53,7 +64,7 @@
 	for backend := range g.ranking.All() {
 		affectedBackends += boolToInt(backend.lastBadAt > 0 && g.now-backend.lastBadAt < seconds(0.5/weight))
 	}
-	firstWeight := min(0.5, 1/max(1, g.ticks)) // the first seconds have more weight
+	firstWeight := min(0.5, 1/max(1, g.ticks)) // the first seconds have more weight in sustainableLimit
 	g.sustainableLimit += max(weight, firstWeight) * (g.lateAgeSum - g.sustainableLimit)
 	g.lateAgeSum = 0
 	minLimit := max(float64(max(1, readyBackends))/float64(g.settings.Gateways), g.sustainableLimit/2)
--- a/internal/gateway/excess.go
+++ b/internal/gateway/excess.go
@@ -7,23 +7,31 @@
 )
 
 // Requests beyond the quotas have a price and are held to a budget. Each request is admitted with a probability that
-// depends on its value and its expected excess, at a shadow price that rises and falls with what has been spent.
+// depends on its value and its expected excess, at a shadow price that rises and falls with what has been spent. The
+// excess of a request is the probability that it is beyond the quota. A shadow price is the value that a request must
+// have per unit of its cost to be admitted with certainty.
 
 const (
-	excessBudget          = 0.07       // target cost of excess, as a share of the value within quotas; 0.1 is allowed
-	minClassAdmission     = 0.50       // least admitted share of a class's value within quotas; a half is required
-	minUnknownAdmission   = 0.30       // least admitted share of the clients of unknown customers; a third is required
-	initialPrice          = 4.0        // shadow price at the start
-	minPrice              = 1.0        // least shadow price; below it more is lost beyond quotas than won within them
-	maxPrice              = 100.0      // highest shadow price
-	classPriceStep        = 2.0        // most by which the price of a class grows in a second, as a factor
-	maxOffers             = 128        // latest requests from which the price is computed
-	maxOfferAge           = 8 * second // age up to which they are used
-	retryDecay            = 0.1        // weight of a second in the share of the client retries
-	classWeight           = 1.0 / 64   // weight of a request in the admitted share of its class
-	sameGatewayRetryShare = 0.5        // share of the client retries that come through the same gateway
-	maxRetryShare         = 0.75       // most rejected requests that are retried: if few are admitted, three times each
-	minRejections         = 5.0        // least rejected requests that the share of client retries is computed over
+	excessBudget        = 0.07 // target cost of excess, as a share of the value within quotas; 0.1 is allowed
+	minClassAdmission   = 0.50 // least admitted share of a class's value within quotas; a half is required
+	minUnknownAdmission = 0.30 // least admitted share of the clients of unknown customers; a third is required
+
+	initialPrice   = 4.0   // shadow price at the start
+	minPrice       = 1.0   // least shadow price; below 1, more is lost beyond quotas than gained within them
+	maxPrice       = 100.0 // highest shadow price
+	classPriceStep = 2.0   // largest factor by which the price of a class grows in a second
+
+	maxOffers   = 128        // number of latest requests from which the price is computed
+	maxOfferAge = 8 * second // age up to which a request counts for the price
+	retryDecay  = 0.1        // share by which the counts of requests, rejections and client retries decay per second
+	classWeight = 1.0 / 64   // weight of a request in the admitted share of its class
+
+	sameGatewayRetryShare = 0.5  // share of the client retries that come through the same gateway
+	maxRetryShare         = 0.75 // highest share of rejected requests that are retried: 3 of 4, at three retries each
+
+	// priorRejections is added to the rejected requests of which the share that is retried is computed, so that the
+	// first few do not decide it.
+	priorRejections = 5.0
 )
 
 // admitExcess reports whether a request is admitted though it may be beyond the quota. The admission is certain if its
@@ -31,13 +39,15 @@
 // not known yet, a minimum share is admitted at any price.
 func (g *Gateway) admitExcess(customer *customerState, class *classState, units float64) bool {
 	plan, usage := customer.plan, customer.usage
-	retryShare := g.retryShare(customer, class, units)
+	retryShare := g.updateRetryShare(customer, class, units)
 	unknown := customer.meteredTime == 0 && len(customer.recentArrivals) == 0
 	utilization := g.utilizationOf(customer)
 	customer.recordArrival(g.now)
 	usage.meanUnits += requestWeight * (units - usage.meanUnits)
 	usage.meanSquaredUnits += requestWeight * (units*units - usage.meanSquaredUnits)
 	excess, value := g.excessProbability(customer, &utilization, units), class.Value*plan.ValueFactor*units
+	// The utilization counts admitted requests only; of all requests, the share of the eventual admission divided by
+	// the utilization is within the quota.
 	offer := budget.Offer{At: g.now, Value: value * (1 - excess + excess*plan.ExcessValueShare),
 		Cost: value * excess * plan.ExcessCostShare,
 		BudgetBase: value * usage.utilization.MeanShareWithin(utilizationGrid,
@@ -68,22 +78,24 @@
 	return probability / (1 - (1-probability)*retryShare)
 }
 
-// retryShare records whether a request is the client retry of one that was rejected, and returns the share of the
-// rejected requests that are retried, through this gateway or another. Client retries are recognised by their class
-// and units and by coming within a second, as the Retry-After of a rejection is mostly the latency of one answer.
-func (g *Gateway) retryShare(customer *customerState, class *classState, units float64) float64 {
+// updateRetryShare records whether a request is the client retry of one that was rejected for its price. It returns the
+// share of such requests that are retried, through this gateway or another. Client retries are recognised by having
+// the same class and units and coming within a second, as the Retry-After of such a rejection is mostly the latency of
+// one answer.
+func (g *Gateway) updateRetryShare(customer *customerState, class *classState, units float64) float64 {
 	if customer.rejectedClass == class && customer.rejectedUnits == units && g.now-customer.rejectedAt < second {
 		g.pricing.retried++
 	}
 	customer.rejectedClass = nil
-	return min(maxRetryShare, g.pricing.retried/(g.pricing.rejected+minRejections)/sameGatewayRetryShare)
+	return min(maxRetryShare, g.pricing.retried/(g.pricing.rejected+priorRejections)/sameGatewayRetryShare)
 }
 
-// adjustPrice moves the shadow price towards the one at which the latest requests would have spent the budget. A class
-// of which less than minClassAdmission is admitted has a lower price.
+// adjustPrice moves the shadow price halfway, on a logarithmic scale, towards the one at which the latest requests
+// would have spent the budget. The price of a class of which less than minClassAdmission is admitted is lowered until
+// that share is.
 func (g *Gateway) adjustPrice() {
 	pricing := &g.pricing
-	// firstRequestShare is the share of the requests that are not client retries.
+	// firstRequestShare is the share of the requests that are not client retries. The budget counts only these.
 	firstRequestShare := 1 - min(maxRetryShare, pricing.retried/max(1, pricing.requests)/sameGatewayRetryShare)
 	pricing.shadowPrice = math.Sqrt(pricing.shadowPrice *
 		pricing.offers.Price(g.now-maxOfferAge, firstRequestShare*excessBudget, minPrice, maxPrice))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -10,16 +10,16 @@
 	"herontiller/internal/stats"
 )
 
-// The start of a gateway, and its work once a second.
+// The creation of a gateway, and its periodic work once a second.
 
 const (
 	second           = time.Second
-	splitInterval    = 5 * second  // between splits of the slots, by the design
-	customerIdleTime = time.Minute // after which an idle customer is deleted, by the design
+	splitInterval    = 5 * second  // time between splits of the slots; the specification prescribes it
+	customerIdleTime = time.Minute // after it an idle customer is deleted; the specification prescribes it
 )
 
-// New returns a gateway that starts at the time now. It knows no backends until the first BackendList. It
-// returns an error if the settings are invalid.
+// New returns a gateway that starts at the time now, with a random number generator of the given seed. It
+// knows no backends until the first BackendList. It returns an error if the settings are invalid.
 func New(settings Settings, seed uint64, now time.Duration) (*Gateway, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
--- a/internal/gateway/health.go
+++ b/internal/gateway/health.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Passive health checks: what a gateway detects of its backends before the list of backends shows it.
+// Passive health checks: failures of backends that a gateway detects from its own attempts, before the list of backends
+// shows them.
 
 const (
-	initialBackoff    = 125 * time.Millisecond // after a failed connection; doubles with each further one in a row
+	initialBackoff    = 125 * time.Millisecond // after a failed connection; doubled by each further one in a row
 	maxBackoff        = second                 // longest backoff
 	downAfterFailures = 3                      // failed connections in a row after which a backend counts as down
 
-	overdueThreshold     = 2.0      // mean answers that may be overdue before the backend's cost rises
+	overdueThreshold     = 2.0      // answers that may be overdue before the backend's cost rises
 	cancelAfterLatencies = 10.0     // mean latencies of its class after which a first attempt is cancelled
 	cancelBudgetPerSend  = 1.0 / 16 // attempts that may be cancelled for each one sent
 	maxCancelBudget      = 8.0      // attempts that may be cancelled in a burst
-	maxOutlierPenalty    = 8.0      // most mean answers above overdueThreshold that a cancelled attempt leaves overdue
-	maxColdLoad          = 0.45     // most load of a cold backend, as a share of what would overload it
-	coldCostFactor       = 1.0 / 4  // on the cost of a cold backend with a token: preferred unless 4 times as costly
+	maxOutlierPenalty    = 8.0      // most answers above overdueThreshold that cancelled attempts leave overdue
+	maxColdLoad          = 0.45     // highest load of a cold backend, as a share of the load that would overload it
+	coldCostFactor       = 1.0 / 4  // cost factor of a cold backend with a token: preferred unless 4 times as costly
 	overdueDecayTime     = 1.0      // seconds in which the overdue answers of an idle backend decay to 1/e
 	slownessDecayTime    = 2.0      // seconds in which the slowness of an idle backend above the mean decays to 1/e
 
 	subsetWindow  = 4 * second // the subset has as many backends as the gateway sends attempts in this time
 	minSubsetSize = 4.0        // least number of backends in the subset
-	maxCandidates = 256        // most backends of the subset that are examined for one attempt
+	maxCandidates = 256        // most responsive backends of the subset that are compared for one attempt
 )
 
 // subsetSize returns the size of the subset of the backends that this gateway sends to. From a small subset, each of
@@ -62,7 +63,7 @@
 // no bursts. Where each of many gateways picks the backend every few seconds only, saving up a whole token would take
 // as long as the warm-up; so each gateway begins with a random fraction of a token, and together they send at the
 // right rate from the first second on. If *totalCapacity is 0, it is set to the capacity of all ready backends, in
-// warm backends.
+// multiples of the capacity of a warm backend.
 func (g *Gateway) slowStartFactor(backend *trackedBackend, totalCapacity *float64) float64 {
 	capacity := g.capacityShare(backend)
 	if !backend.cold {
@@ -82,16 +83,17 @@
 		sendRate = g.sends
 	}
 	meanRate := max(sendRate, readyBackends/float64(g.settings.Gateways)) / min(readyBackends, g.subsetSize())
-	// relativeRate is the rate for this backend as a share of meanRate.
+	// relativeRate is the rate of sends to this backend as a multiple of meanRate, the mean over the subset.
 	relativeRate := capacity * min(readyBackends / *totalCapacity, maxColdLoad*g.settings.OverloadMultiple)
 	backend.tokens = min(1, backend.tokens+relativeRate*meanRate*(g.now-backend.tokensAt).Seconds())
 	backend.tokensAt = g.now
 	return coldCostFactor * float64(boolToInt(backend.tokens >= 1))
 }
 
-// updateOverdue brings the backend's overdue up to date and returns it: how many mean answers it has failed to give
-// since its last answer. Whatever silences it (a hang, a pause, a lost network) is thus detected without a timeout. A
-// few long requests, or one on a dead connection, can raise it wrongly, so it only raises the backend's cost.
+// updateOverdue brings the backend's overdue up to date and returns it: how many answers the backend would have given
+// since its last one if each attempt took the mean latency, times the backend's slowness if that is above 1. Whatever
+// silences the backend (a hang, a pause, a lost network) is thus detected without a timeout. A few long requests, or
+// one on a dead connection, can raise overdue wrongly, so it only raises the backend's cost.
 //
 // While nothing is in flight, overdue and slowness decay: only a further attempt can show whether they still hold, and
 // the higher they are the less often one is sent. Without the decay, each backend in turn is avoided for a minute
@@ -112,9 +114,9 @@
 // another backend, in the same slot. Otherwise, a connection that went silent or a backend that hangs holds the slot
 // until the client times out, a hundred times as long as an answer takes, and a few such slots are all of a small
 // concurrency limit. In an overload many attempts take as long, and each cancelled one is work done twice. So the
-// cancellations are limited to a small share of the sends, and no request is cancelled twice: where more attempts than
-// that share are slow by nature, the harm is limited to that share. The attempts of each class are checked in the
-// order in which they were sent.
+// cancellations are limited by a budget, which is a small share of the sends, and no request is cancelled twice. Where
+// requests of more than that share are slow by nature, the wasted work is limited to that share. The attempts of each
+// class are checked in the order in which they were sent.
 func (g *Gateway) cancelSlow() {
 	for _, class := range g.orderedClasses {
 		for len(class.firstAttempts) > 0 {
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -9,13 +9,14 @@
 )
 
 // The quota of a customer: its token bucket, projected from the meter's readings, and its pass probability.
+// Levels and use are in percent-seconds: one second at the whole rate of the plan is 100 percent-seconds.
 
 const (
 	readingDelay    = 2       // meter periods from the end of a period until its reading is counted here
-	bucketMargin    = 1.0 / 8 // share of the burst that the projection must leave for unseen gateways
+	bucketMargin    = 1.0 / 8 // share of the burst that the projection leaves for unseen sends elsewhere
 	priorUsePercent = 40      // assumed use of a customer before any reading, percent of its rate
 	maxRecentSends  = 64      // own sends kept of a customer between readings, to bound the memory
-	readingDecay    = 0.9     // factor per reading on the weight of earlier readings
+	readingDecay    = 0.9     // factor on the weight of earlier readings with each further one
 )
 
 // customerFor returns the customer of a request, creating it if it is new or its plan has changed.
@@ -27,8 +28,8 @@
 		offset := ((g.settings.Index-ev.FirstGateway)%fleetSize + fleetSize) % fleetSize
 		customer = &customerState{plan: plan, gateways: float64(gatewayCount), passProbability: 1,
 			meteredUntil: g.now, meterPeriod: g.settings.MeterPeriod.Seconds()}
-		set := shares.Position{Gateways: gatewayCount, Offset: offset, Customer: uint64(ev.Customer)}
-		customer.limits = g.newLimits(plan, set)
+		position := shares.Position{Gateways: gatewayCount, Offset: offset, Customer: uint64(ev.Customer)}
+		customer.localState = g.newLocalState(plan, position)
 		customer.meteredLevel = customer.capacity()
 		g.customers[ev.Customer] = customer
 	}
@@ -77,9 +78,11 @@
 	fleetMultiple, elapsed := c.fleetMultiple(), max(0, (at-c.meteredUntil).Seconds())
 	decay := math.Pow(readingDecay, elapsed/max(c.meterPeriod, 1e-3))
 	requestUse := 100 * c.lastUnits / c.plan.Rate
-	// One of two gateways meets every customer. One of many meets few, mostly those that send the most.
-	metPercent := 100 * c.usage.meanUtilization()
-	priorPercent := metPercent - (metPercent-priorUsePercent)*min(1, 2/c.gateways)
+	// planPercent is the mean over requests, so customers that send more weigh more. It is the prior for one
+	// of many gateways, which meets few customers, mostly those that send the most. One of two gateways meets
+	// every customer; its prior is priorUsePercent.
+	planPercent := 100 * c.usage.meanUtilization()
+	priorPercent := planPercent - (planPercent-priorUsePercent)*min(1, 2/c.gateways)
 	meanPercent := (requestUse + decay*c.meteredUse) / (requestUse/priorPercent + decay*c.meteredTime)
 	elapsed = max(elapsed, readingDelay*c.meterPeriod) // a burst counts as if it had taken this long
 	// ownWeight is the weight of this gateway's sends.
@@ -88,11 +91,11 @@
 		ownWeight * (fleetMultiple - 1)
 }
 
-// withinQuota reports whether a request is within the customer's quota. By the design's rule, all requests
-// pass while the metered level of the bucket is above 0, else a request passes with the probability f
-// (passProbability). An exception is made because readings come late and a short burst is over before one
-// shows it: a request must also be covered by the projected level, from which the use over all gateways since
-// the last metered period is subtracted.
+// withinQuota reports whether a request is within the customer's quota. The specification prescribes that all
+// requests pass while the metered level of the bucket is above 0, and that else a request passes with the
+// probability f (passProbability). There is one exception, because readings come late and a short burst is
+// over before one shows it: a request must also be covered by the projected level, from which the use over
+// all gateways since the last metered period is subtracted.
 func (g *Gateway) withinQuota(customer *customerState, units float64) bool {
 	// The pass probability applies only while readings come. They come with answers, so by rejecting too much
 	// it could otherwise stop both for good.
--- a/internal/gateway/reserves.go
+++ b/internal/gateway/reserves.go
@@ -7,14 +7,20 @@
 	"herontiller/internal/reservation"
 )
 
-// The N slots of the concurrency limit are split into reserves of the high and the low tier and a shared
-// pool, with sub-rating, as in the paper that package reservation implements. Comments mark the exceptions to
-// the paper.
+// The N slots of the concurrency limit are split into a reserve for each of the two tiers and a shared pool,
+// with sub-rating, by the method of the paper that the comment of package reservation names. The high tier
+// are the requests whose value is above the recent median. Comments mark the exceptions to that paper.
 
 const (
-	subratedPerHigh = 2   // alpha, low requests that are sub-rated for one high request; the paper's value
-	splitSteps      = 20  // the best split is searched in steps of N/splitSteps
-	minExactSlots   = 8.0 // fewer slots are limited on average, over about minExactSlots/size services
+	subratedPerHigh = 2  // alpha, low requests that are sub-rated for one high one; the value of that paper
+	splitSteps      = 20 // the best split is searched in steps of N/splitSteps
+
+	// minExactSlots is the least size of a partition, in slots, that is limited at every moment. A smaller
+	// one is limited on average, over a window of about minExactSlots/size times the minimum latency.
+	minExactSlots = 8.0
+
+	roundingTolerance = 1e-9 // slots, for comparisons of sums of fractions
+	minPartitionSize  = 1e-6 // slots; a smaller partition counts as empty
 )
 
 // takeSlot returns a slot of the tier's own reserve, else of the pool, else (for the high tier) one that is
@@ -40,9 +46,9 @@
 	return slot
 }
 
-// updateMeanInUse brings meanInUse up to date. Exception to the paper: with many gateways, each of them has
-// about one slot of the back end or less. Their deviations cancel out, so a small partition is limited on
-// average instead of at every moment.
+// updateMeanInUse brings meanInUse up to date. It makes an exception to that paper: with many gateways, each
+// of them has about one slot of the back end or less. Their deviations cancel out, so a small partition is
+// limited on average instead of at every moment.
 func (g *Gateway) updateMeanInUse() {
 	elapsed := (g.now - g.meanInUseAt).Seconds()
 	g.meanInUseAt = g.now
@@ -63,14 +69,16 @@
 // the fraction of a slot that an attempt takes up in its averaging window.
 func (g *Gateway) hasRoom(partition int) bool {
 	size := g.partitionSize[partition]
-	return g.meanInUse[partition]+min(1, size/minExactSlots) <= size+1e-9 && size > 1e-6
+	return g.meanInUse[partition]+min(1, size/minExactSlots) <= size+roundingTolerance &&
+		size > minPartitionSize
 }
 
 // subrate marks the subratedPerHigh oldest unmarked low requests of the pool and reports whether it did. It
 // marks none if there are fewer or the pool is above its size.
 func (g *Gateway) subrate() bool {
 	g.unmarkedSlots = slices.DeleteFunc(g.unmarkedSlots, func(slot *heldSlot) bool { return slot.freed })
-	if len(g.unmarkedSlots) < subratedPerHigh || g.meanInUse[sharedPool] > g.partitionSize[sharedPool]+1e-9 {
+	if len(g.unmarkedSlots) < subratedPerHigh ||
+		g.meanInUse[sharedPool] > g.partitionSize[sharedPool]+roundingTolerance {
 		return false
 	}
 	for _, slot := range g.unmarkedSlots[:subratedPerHigh] {
@@ -104,14 +112,14 @@
 	g.applySplit()
 }
 
-// applySplit sets the sizes of the partitions to the split that the paper's Method II values highest for the
-// load of the tiers. Attempts in flight keep their slots: a partition that is now smaller than its use takes
-// no more until it drains.
+// applySplit sets the sizes of the partitions to the split with the highest payoff for the load of the tiers
+// (see package reservation). Attempts in flight keep their slots: a partition that is now smaller than its
+// use takes no more until it drains.
 func (g *Gateway) applySplit() {
 	low, high := g.tiers[0], g.tiers[1]
 	serviceRate := 1 / max(g.meanLatency, 1e-6)
 	highSlots, lowSlots := reservation.Split(g.concurrencyLimit, reservation.Load{
-		HighRate: high.arrivalRate, LowRate: low.arrivalRate, Service: serviceRate,
+		HighRate: high.arrivalRate, LowRate: low.arrivalRate, ServiceRate: serviceRate,
 		HighValue: max(high.meanValue, low.meanValue), LowValue: low.meanValue}, subratedPerHigh, splitSteps)
 	g.partitionSize = [3]float64{highSlots, lowSlots, g.concurrencyLimit - highSlots - lowSlots}
 }
--- a/internal/gateway/selection.go
+++ b/internal/gateway/selection.go
@@ -54,14 +54,16 @@
 }
 
 // chooseBackend returns the ready backend that should answer a further attempt of the request first, or nil
-// if there is none: the one with the fewest attempts in flight times its slowness, with a penalty for overdue
-// answers and a random factor of up to 5% against ties. If the subset is large, it examines a part of it that
-// is drawn at random each time.
+// if there is none: the one with the lowest cost. The cost is the number of attempts in flight times the
+// slowness, with a penalty for overdue answers, the factor of a cold backend, and a random factor of up to 5%
+// against ties. The candidates are the backends of this gateway's subset: the first in its random order,
+// until as many as subsetSize are responsive, which means at most overdueThreshold answers overdue. If the
+// subset is larger than maxCandidates, a part of it is examined that is drawn at random each time.
 func (g *Gateway) chooseBackend(request *requestState) *trackedBackend {
 	var best *trackedBackend
-	minCost, responsive, totalCapacity, size := math.Inf(1), 0.0, 0.0, g.subsetSize()
-	for walk := g.ranking.Walk(int(size), maxCandidates, g.rng); responsive < min(size, maxCandidates) &&
-		walk.Next(); {
+	minCost, responsive, totalCapacity, subsetSize := math.Inf(1), 0.0, 0.0, g.subsetSize()
+	for walk := g.ranking.Walk(int(subsetSize), maxCandidates, g.rng); responsive <
+		min(subsetSize, maxCandidates) && walk.Next(); {
 		backend := walk.Value()
 		if backend.State != Ready || g.now < backend.backoffUntil || !g.isConfirmed(backend) ||
 			!g.eligible(request, backend) {
@@ -69,10 +71,10 @@
 		}
 		overdue := g.updateOverdue(backend)
 		responsive += float64(boolToInt(overdue <= overdueThreshold))
-		if slowStartFactor := g.slowStartFactor(backend, &totalCapacity); slowStartFactor > 0 {
+		if costFactor := g.slowStartFactor(backend, &totalCapacity); costFactor > 0 {
 			overduePenalty := 1 + max(0, overdue-overdueThreshold)
 			cost := float64(backend.inFlight+1) * backend.slowness * overduePenalty *
-				(1 + 0.05*g.rng.Float64()) * slowStartFactor
+				(1 + 0.05*g.rng.Float64()) * costFactor
 			if cost < minCost {
 				best, minCost = backend, cost
 			}
@@ -82,7 +84,7 @@
 }
 
 // eligible reports whether the request may be sent to the backend. A request is not sent to the same backend
-// twice, unless there is only one. Once a request may have run and is not Safe to repeat, it is sent only to
+// twice, unless there is only one. Once a request may have run, and its class is not Safe, it is sent only to
 // backends that drop its repeats, and only as long as they do, so that it does not run twice.
 func (g *Gateway) eligible(request *requestState, backend *trackedBackend) bool {
 	if g.ranking.Len() > 1 &&
@@ -99,7 +101,8 @@
 		(scope != ScopeCell || attempt.backend.Cell == backend.Cell)
 }
 
-// dedupRemaining returns how much longer the backends drop repeats of an attempt that may have run.
+// dedupRemaining returns how much longer the backends drop repeats of an attempt that may have run, less
+// AnswerGrace.
 func (g *Gateway) dedupRemaining(request *requestState, attempt *attemptState) time.Duration {
 	return request.class.DedupWindow - g.settings.AnswerGrace - (g.now - attempt.sentAt)
 }
--- a/internal/gateway/staleness.go
+++ b/internal/gateway/staleness.go
@@ -1,6 +1,6 @@
 package gateway
 
-// Staleness of the list of backends, where it must be subscribed to.
+// Staleness of the list of backends, for settings with a ListLease.
 //
 // Discovery may be down or overloaded for longer than a change of the list may go unnoticed. A list that is older than
 // its lease does not show which backends are draining by now, and neither does one that was saved before this process
@@ -13,7 +13,7 @@
 // after discovery had listed them as draining.
 const answerLeaseShare = 1.0 / 2
 
-// renewListLease renews the lease of the list if the update shows that discovery has sent all that it has.
+// renewListLease renews the lease of the list if the update comes from discovery, which brings the list up to date.
 func (g *Gateway) renewListLease(kind ListKind) {
 	if kind == ListChanges || kind == ListFull {
 		g.listValidUntil = g.now + g.settings.ListLease
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -9,15 +9,16 @@
 	"herontiller/internal/stats"
 )
 
-// The state of a Gateway. The decisions and the constants that tune them are in the policy files.
+// The state of a Gateway. The decisions and their constants are in the files that deploy/balancer.toml lists as policy.
 
-const highReserve, lowReserve, sharedPool = 0, 1, 2 // indices of the partitions of the slots
+// Indices of the partitions of the slots of the concurrency limit: a reserve for each tier, and a shared pool.
+const highReserve, lowReserve, sharedPool = 0, 1, 2
 
 // heldSlot is a slot of the concurrency limit that an attempt holds.
 type heldSlot struct {
 	partition int  // highReserve, lowReserve or sharedPool
 	marked    bool // sub-rated in favour of a request of the high tier
-	freed     bool
+	freed     bool // its attempt has ended
 }
 
 // classState is a class and what the gateway has measured of its requests.
@@ -37,13 +38,13 @@
 	rank            uint64        // position in this gateway's own random order of the backends
 	inFlight        int           // attempts of this gateway in flight
 	slowness        float64       // running mean of the latency over the mean latency of its class
-	overdue         float64       // answers overdue since the last answer, in mean answers
+	overdue         float64       // answers that were due since the last one, see updateOverdue
 	overdueAt       time.Duration // when overdue was last updated
-	backoffUntil    time.Duration // nothing is sent before then, as it rejected or could not be reached
+	backoffUntil    time.Duration // nothing is sent before then, as it rejected an attempt or could not be reached
 	confirmedUntil  time.Duration // until then its last answer proves that it is not draining
 	coldSince       time.Duration // when its process started, as far as known
 	cold            bool          // still warming up
-	tokens          float64       // sends allowed while cold, as of tokensAt
+	tokens          float64       // sends that are allowed while it is cold, as of tokensAt
 	tokensAt        time.Duration
 	lastBadAt       time.Duration // time of its last bad outcome; 0: none
 	connectFailures int           // failed connections since the last answer, at most downAfterFailures
@@ -67,7 +68,7 @@
 	seq      uint64 // its key in requestsBySeq and the token of its timers
 	class    *classState
 	customer *customerState
-	units    float64
+	units    float64       // cost in units of the quota
 	deadline time.Duration // when its client times out
 	queued   bool          // waits in its customer's queue and has not been sent
 	attempts []attemptState
@@ -88,10 +89,10 @@
 
 // customerState is a customer as seen by this gateway.
 type customerState struct {
-	limits
+	localState
 	plan            *Plan
-	gateways        float64 // number of gateways that it uses
-	lastSeen        time.Duration
+	gateways        float64       // number of gateways that it uses
+	lastSeen        time.Duration // when its last request arrived
 	inFlight        int           // attempts of this gateway in flight
 	meteredLevel    float64       // level of its token bucket at meteredUntil, percent-seconds of the rate
 	meteredUntil    time.Duration // end of the last period that the meter reported
@@ -112,7 +113,7 @@
 // tierLoad is the load of one of the two tiers of requests.
 type tierLoad struct {
 	arrivals    float64 // arrivals in the present window
-	value       float64 // sum of their values
+	value       float64 // sum of the values of these arrivals
 	arrivalRate float64 // arrivals per second in the last window
 	meanValue   float64 // mean value of an arrival in the last window that had any
 }
@@ -120,9 +121,9 @@
 // Gateway makes the decisions of one gateway.
 type Gateway struct {
 	settings           Settings
-	classes            map[string]*classState
-	orderedClasses     []*classState // in the order of the settings
-	plans              map[string]*Plan
+	classes            map[string]*classState // by name
+	orderedClasses     []*classState          // in the order of the settings
+	plans              map[string]*Plan       // by name
 	rng                *rand.Rand
 	now                time.Duration // time of the present event
 	startedAt          time.Duration
@@ -132,7 +133,7 @@
 	listValidUntil     time.Duration // end of the lease of the list of backends
 	requests           map[RequestID]*requestState
 	requestsBySeq      map[uint64]*requestState
-	lastSeq            uint64
+	lastSeq            uint64 // seq of the last request
 	customers          map[CustomerID]*customerState
 	planUsages         map[*Plan]*planUsage
 	meteredBeforeStart bool              // the meter ran before this gateway started
@@ -144,37 +145,38 @@
 	coldBackends ranked.OrderedSet[*trackedBackend] // cold backends and some that have warmed up since
 
 	recentValues []float64 // values of the last medianWindow arrivals
-	medianValue  float64   // their median, the boundary between the tiers
+	medianValue  float64   // median of recentValues at the last tick, the boundary between the tiers
 
 	concurrencyLimit float64    // N; +Inf: unbounded
-	partitionSize    [3]float64 // slots of each partition: n_h, n_l and the pool
+	partitionSize    [3]float64 // slots of each partition: the high reserve, the low reserve and the pool
 	inUse            [3]int     // slots of each partition in use
-	meanInUse        [3]float64 // the same, averaged over a window in a small partition, as of meanInUseAt
+	meanInUse        [3]float64 // slots in use, averaged over a window in a small partition, as of meanInUseAt
 	meanInUseAt      time.Duration
 	markedCount      int         // marked slots in use
 	unmarkedSlots    []*heldSlot // slots of low requests in the pool that are not marked, oldest first; some are freed
 	tiers            [2]tierLoad // low, high
 	lastSplitAt      time.Duration
-	meanLatency      float64 // 1/mu, the running mean latency of answers, seconds
+	meanLatency      float64 // running mean latency of answers, seconds
 	minLatency       float64 // lowest meanLatency, rising slowly to follow changes, seconds
-	outcomes         float64 // attempts that ended or became late, decaying sum
-	badOutcomes      float64 // those of them that were late or rejected, decaying sum
+	outcomes         float64 // attempts that ended (but not by Cancelled or NotSent) or became late, decaying sum
+	badOutcomes      float64 // outcomes that were late or rejected, decaying sum
 	lateAgeSum       float64 // sum of the late ages of the classes of this second's answers, seconds
 	sustainableLimit float64 // mean of lateAgeSum per second: the attempts in flight that can end without being late
 	sends            float64 // sends in this second
 	sendRate         float64 // mean sends per second
 	ticks            float64 // seconds counted so far
-	cancelBudget     float64 // attempts that may be cancelled as too slow
+	cancelBudget     float64 // attempts that may be cancelled as too slow, see cancelSlow
 }
 
-// limits are this gateway's shares of a customer's hard limits and its use of them, and what the gateway has observed
-// of the customer's requests.
-type limits struct {
-	ceilingShares   float64 // number of shares that the ceiling's bucket is split into
-	hasCeilingShare bool    // this gateway has one of them
-	ceilingLevel    float64 // level of its share of the ceiling's bucket, as of ceilingLevelAt, units
-	ceilingLevelAt  time.Duration
-	inFlightLimit   int // attempts that may be in flight through this gateway
+// localState is the part of customerState that the hard limits and the price of excess need: this gateway's shares of
+// the customer's hard limits and its use of them, the customer's queue, what is known of its plan's customers, and what
+// this gateway has observed of its requests.
+type localState struct {
+	ceilingShareCount float64 // number of shares that the ceiling's bucket is split into
+	hasCeilingShare   bool    // this gateway has one of them
+	ceilingLevel      float64 // level of its share of the ceiling's bucket, as of ceilingLevelAt, units
+	ceilingLevelAt    time.Duration
+	inFlightLimit     int // attempts that may be in flight through this gateway
 	// inFlightCredit is the time of an attempt in flight that is saved up as of inFlightCreditAt, in seconds, where
 	// this gateway's share of MaxInFlight is less than one.
 	inFlightCredit       float64
@@ -186,7 +188,7 @@
 	admissionProbability float64         // probability with which its last request was admitted
 	rejectedClass        *classState     // class of its last request if that was rejected for its price, else nil
 	rejectedUnits        float64         // units of that request
-	rejectedAt           time.Duration
+	rejectedAt           time.Duration   // when it was rejected
 }
 
 // excessPricing is the state of the pricing of requests beyond their quota.
@@ -198,12 +200,13 @@
 	retried     float64         // client retries shortly after such a rejection, decaying sum
 }
 
-// planUsage is what a gateway has learnt about the customers of a plan.
+// planUsage is what a gateway has learnt about the customers of a plan. Utilization is a customer's use over all
+// gateways, in multiples of its quota. Its distribution is over requests: customers that send more weigh more.
 type planUsage struct {
 	populationGroup  int            // group of the plan in Gateway.population
 	utilization      *stats.Weights // distribution of the utilization of a request's customer
 	meanUnits        float64        // running mean of the units of a request
-	meanSquaredUnits float64        // running mean of their square
+	meanSquaredUnits float64        // running mean of the squared units of a request
 	meanAdmission    float64        // running mean of the probability of admission
 }
 
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -14,19 +14,22 @@
 // count only until as many of the plan itself are in.
 
 const (
-	priorSamples         = 4.0         // readings that the prior counts for, and all plans together as the prior of one
-	maxSamples           = 128         // latest readings from which the distributions are estimated
+	// priorSamples is the weight, in readings, of priorUtilization as the prior of all plans together, and of all
+	// plans together as the prior of each plan.
+	priorSamples = 4.0
+
+	maxSamples           = 128         // number of latest readings from which the distributions are estimated
 	emRounds             = 10          // rounds of the EM algorithm per second, starting from the last estimate
 	requestWeight        = 1.0 / 64    // weight of one request in the running means of planUsage
 	minSampleAdmission   = 1.0 / 5     // least admission probability whose inverse weights a reading
 	arrivalWindow        = 20 * second // age up to which arrivals of a customer without readings are evidence
 	maxArrivals          = 16          // latest arrivals that are kept of a customer
 	meanChangeInterval   = 20 * second // mean time between changes of a customer's utilization
-	maxLevelLearningTime = 10.0        // seconds of readings after which even a slow bucket's level is known
+	maxLevelLearningTime = 10.0        // longest time constant with which a bucket's level becomes known, seconds
 	freshRefills         = 10.0        // refill times of a bucket during which it matters that it was full at the start
 	maxReadInFlight      = 64          // most attempts in flight at once that a reading is taken to report
 	minLikelihood        = 1e-6        // of a reading at any utilization: customers are less regular than the formulas
-	minExposure          = 0.05        // expected requests at the whole quota; below it, no arrivals are no evidence
+	minExposure          = 0.05        // requests expected at the whole quota below which no arrivals are no evidence
 	minUtilizationWeight = 0.002       // utilizations with a lower probability are skipped
 
 	// The probability that a bucket has too little for a request is approximated, to within 0.04, by that of a full
@@ -67,8 +70,9 @@
 	return min(halfLimit, customer.plan.Rate/max(customer.usage.meanUnits, 1e-6)*g.meanLatency)
 }
 
-// requestInterval returns the seconds between two requests of a customer that uses its whole quota. It assumes
-// requests of the one size that has the same variance of the use as the true sizes.
+// requestInterval returns the seconds between two requests of a customer that uses its whole quota. It assumes that all
+// requests have one size, at which the variance of the use is that of the true sizes. Without a rate, it returns the
+// period of the meter.
 func (c *customerState) requestInterval() float64 {
 	if c.plan.Rate <= 0 {
 		return max(1e-6, c.meterPeriod)
@@ -88,8 +92,8 @@
 
 // utilizationOf returns the distribution of the customer's utilization now. The readings are evidence until the end of
 // the last metered period. The utilization may have changed since, and then a request comes from a customer with a
-// probability proportional to its new utilization. The arrivals since then at this gateway, with its share of the
-// customer's requests, are evidence of the present.
+// probability proportional to its new utilization. The arrivals at this gateway since then are evidence of the present
+// utilization; the gateway is expected to receive its share of the customer's requests.
 func (g *Gateway) utilizationOf(customer *customerState) stats.Weights {
 	interval, age := customer.requestInterval(), readingDelay*customer.meterPeriod
 	utilization := *customer.usage.utilization
@@ -105,6 +109,7 @@
 		utilization = utilization.Posterior(&likelihood)
 		from = customer.meteredUntil
 	}
+	// At the end of its period, a reading is half a period old on average.
 	changeProbability := 1 - math.Exp(-(age+customer.meterPeriod/2)/meanChangeInterval.Seconds())
 	afterChange := customer.usage.utilization.Posterior(&utilizationGrid.Rates)
 	for i := range utilization {
@@ -130,9 +135,10 @@
 // projection of the bucket instead.
 func (g *Gateway) excessProbability(customer *customerState, utilization *stats.Weights, units float64) float64 {
 	limit := float64(customer.plan.MaxInFlight)
-	limitShared := customer.plan.MaxInFlight > 0 && limit < customer.gateways
+	shareBelowOne := customer.plan.MaxInFlight > 0 && limit < customer.gateways
 	// inFlightElsewhere is the mean number of attempts in flight per other gateway, at a utilization of 1.
 	inFlightElsewhere := customer.othersShare() / (customer.gateways - 1) * g.inFlightAtQuota(customer)
+	// unseenShare is the weight of the use that this gateway does not see: 0 of two gateways, nearly 1 of many.
 	unseenShare := 0.0
 	var bucket stats.TokenBucket
 	if customer.plan.Rate > 0 && units > 0 {
@@ -148,7 +154,7 @@
 		if unseenShare > 0 {
 			within -= unseenShare * bucket.ShortageProbability(rate, utilizationGrid.LogRate(i))
 		}
-		if limitShared {
+		if shareBelowOne { // other gateways have one attempt in flight at most
 			within *= stats.BinomialBelow(customer.plan.MaxInFlight, customer.gateways-1,
 				min(limit/customer.gateways, rate*inFlightElsewhere))
 		}
@@ -157,15 +163,16 @@
 	return min(1, max(0, excess))
 }
 
-// bucketEstimate returns what is known of the customer's token bucket before a request of so many units.
+// bucketEstimate returns what is known of the customer's token bucket before a request of the given units. The bucket
+// is taken to have been full when this gateway started, unless the meter ran before.
 func (g *Gateway) bucketEstimate(customer *customerState, units float64) stats.TokenBucket {
 	interval, rate := customer.requestInterval(), customer.plan.Rate
-	filled := (g.now - g.startedAt).Seconds()
+	uptime := (g.now - g.startedAt).Seconds()
 	estimate := stats.TokenBucket{
 		QueueSize:       queuePlacesPerRequest*max(1, customer.plan.Burst/units) - queuePlacesOffset,
-		RefillSinceFull: filled / interval,
+		RefillSinceFull: uptime / interval,
 		FullHeadroom:    (customer.plan.Burst - units) / rate / interval,
-		WasFull:         !g.meteredBeforeStart && filled < freshRefills*customer.plan.Burst/rate,
+		WasFull:         !g.meteredBeforeStart && uptime < freshRefills*customer.plan.Burst/rate,
 	}
 	if customer.meteredTime == 0 {
 		return estimate
@@ -193,12 +200,12 @@
 		return utilizationGrid.Likelihood(utilization*exposure, exposure)
 	}
 	maxInFlight := int(min(maxReadInFlight, math.Round(utilization*float64(customer.plan.MaxInFlight))))
-	services := customer.meterPeriod / g.meanLatency
+	serviceTimes := customer.meterPeriod / g.meanLatency
 	var likelihood stats.Weights
 	for i, rate := range utilizationGrid.Rates {
 		meanInFlight := rate * g.inFlightAtQuota(customer)
-		probability := stats.MaxOccupancyCDF(maxInFlight, meanInFlight, services) -
-			stats.MaxOccupancyCDF(maxInFlight-1, meanInFlight, services)
+		probability := stats.MaxOccupancyCDF(maxInFlight, meanInFlight, serviceTimes) -
+			stats.MaxOccupancyCDF(maxInFlight-1, meanInFlight, serviceTimes)
 		likelihood[i] = max(minLikelihood, probability)
 	}
 	return likelihood
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -13,7 +13,7 @@
 // Load describes the requests that arrive, by tier.
 type Load struct {
 	HighRate, LowRate   float64 // arrivals per second of each tier
-	Service             float64 // service rate of one slot, requests per second, above 0
+	ServiceRate         float64 // service rate of one slot, requests per second, above 0
 	HighValue, LowValue float64 // mean value of a request of each tier
 }
 
@@ -48,27 +48,27 @@
 }
 
 // Payoff returns the payoff per second of a split into a high reserve, a low reserve and a pool, in the unit of the
-// values. The sizes are in slots, 0 or more, and alpha is at least 1. The payoff is (2)+(3)+(7)+(11)-(9) of the paper,
+// values. The sizes are in slots, 0 or more, and alpha is at least 1. The payoff is (2)+(3)+(7)+(11)-(9) of that paper,
 // with the penalty of a rejection equal to the value of the request. Each truncated sum is expressed by Erlang's loss
 // formula B(a, n), as the mean number in service of n servers is a(1-B).
 func Payoff(high, low, pool int, load Load, alpha int) float64 {
-	highReserveLoss := stats.ErlangLoss(load.HighRate/load.Service, high)[high]
-	lowReserveLoss := stats.ErlangLoss(load.LowRate/load.Service, low)[low]
+	highReserveLoss := stats.ErlangLoss(load.HighRate/load.ServiceRate, high)[high]
+	lowReserveLoss := stats.ErlangLoss(load.LowRate/load.ServiceRate, low)[low]
 	total := load.HighRate*(1-highReserveLoss)*load.HighValue + load.LowRate*(1-lowReserveLoss)*load.LowValue
 	overflowHigh, overflowLow := load.HighRate*highReserveLoss, load.LowRate*lowReserveLoss
-	poolLossHigh := stats.ErlangLoss(overflowHigh/load.Service, pool)
-	poolLossLow := stats.ErlangLoss(overflowLow/load.Service, pool)
+	poolLossHigh := stats.ErlangLoss(overflowHigh/load.ServiceRate, pool)
+	poolLossLow := stats.ErlangLoss(overflowLow/load.ServiceRate, pool)
 	probability := poolLossHigh[pool] // that highInPool slots of the pool serve high requests
 	for highInPool := pool; highInPool >= 0; highInPool-- {
 		poolFull := probability * poolLossLow[pool-highInPool] // probability that low requests fill the other slots
-		total += probability * (float64(highInPool)*load.Service*load.HighValue +
+		total += probability * (float64(highInPool)*load.ServiceRate*load.HighValue +
 			overflowLow*(1-poolLossLow[pool-highInPool])*load.LowValue)
 		// Sub-rating the low requests of the pool yields one slot for every alpha of them.
 		subratedLoss := poolLossHigh[(pool-highInPool)/alpha]
 		gain := overflowHigh * (1 - subratedLoss) * (load.HighValue - load.LowValue)
 		total += poolFull * (gain - overflowHigh*load.HighValue*subratedLoss - overflowLow*load.LowValue)
 		if overflowHigh > 0 {
-			probability *= float64(highInPool) * load.Service / overflowHigh
+			probability *= float64(highInPool) * load.ServiceRate / overflowHigh
 		} else if highInPool == 1 { // without high arrivals the pool never holds a high request
 			probability = 1
 		} else {
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -7,10 +7,10 @@
 
 const lowPerHigh, searchSteps = 2, 20
 
-// payoffByPaperSums computes the payoff by the paper's formulas (2), (3), (7), (11) and (9) as they are written there,
-// with sums over factorials.
+// payoffByPaperSums computes the payoff by the formulas (2), (3), (7), (11) and (9) of the paper that the package
+// comment names, as they are written there, with sums over factorials.
 func payoffByPaperSums(highSlots, lowSlots, poolSlots int,
-	highRate, lowRate, service, highValue, lowValue float64) float64 {
+	highRate, lowRate, serviceRate, highValue, lowValue float64) float64 {
 	factorial := func(k int) float64 { return math.Gamma(float64(k) + 1) }
 	// prob returns the probability that k of n servers are busy at a load a.
 	prob := func(a float64, k, n int) float64 {
@@ -22,25 +22,26 @@
 	}
 	total := 0.0
 	for i := 1; i <= highSlots; i++ {
-		total += float64(i) * service * highValue * prob(highRate/service, i, highSlots)
+		total += float64(i) * serviceRate * highValue * prob(highRate/serviceRate, i, highSlots)
 	}
 	for i := 1; i <= lowSlots; i++ {
-		total += float64(i) * service * lowValue * prob(lowRate/service, i, lowSlots)
+		total += float64(i) * serviceRate * lowValue * prob(lowRate/serviceRate, i, lowSlots)
 	}
-	highOverflow, lowOverflow := highRate*prob(highRate/service, highSlots, highSlots),
-		lowRate*prob(lowRate/service, lowSlots, lowSlots)
+	highOverflow, lowOverflow := highRate*prob(highRate/serviceRate, highSlots, highSlots),
+		lowRate*prob(lowRate/serviceRate, lowSlots, lowSlots)
 	for i := 0; i <= poolSlots; i++ {
 		for j := 0; j <= poolSlots-i; j++ {
-			total += prob(highOverflow/service, i, poolSlots) * prob(lowOverflow/service, j, poolSlots-i) *
-				(float64(i)*service*highValue + float64(j)*service*lowValue)
+			total += prob(highOverflow/serviceRate, i, poolSlots) * prob(lowOverflow/serviceRate, j, poolSlots-i) *
+				(float64(i)*serviceRate*highValue + float64(j)*serviceRate*lowValue)
 		}
-		poolFull := prob(highOverflow/service, i, poolSlots) * prob(lowOverflow/service, poolSlots-i, poolSlots-i)
+		poolFull := prob(highOverflow/serviceRate, i, poolSlots) *
+			prob(lowOverflow/serviceRate, poolSlots-i, poolSlots-i)
 		subratedSlots := (poolSlots - i) / lowPerHigh
 		for k := 0; k <= subratedSlots; k++ {
-			total += poolFull * float64(k) * service * (highValue - lowValue) *
-				prob(highOverflow/service, k, subratedSlots)
+			total += poolFull * float64(k) * serviceRate * (highValue - lowValue) *
+				prob(highOverflow/serviceRate, k, subratedSlots)
 		}
-		total -= poolFull * (highOverflow*highValue*prob(highOverflow/service, subratedSlots, subratedSlots) +
+		total -= poolFull * (highOverflow*highValue*prob(highOverflow/serviceRate, subratedSlots, subratedSlots) +
 			lowOverflow*lowValue)
 	}
 	return total
@@ -48,16 +49,16 @@
 
 func TestPayoffMatchesPaperSums(t *testing.T) {
 	for _, tc := range []struct {
-		highSlots, lowSlots, poolSlots                  int
-		highRate, lowRate, service, highValue, lowValue float64
+		highSlots, lowSlots, poolSlots                      int
+		highRate, lowRate, serviceRate, highValue, lowValue float64
 	}{
 		{2, 0, 14, 5, 10, 1, 2, 1}, {8, 0, 8, 10, 10, 1, 5, 1}, {3, 4, 9, 15, 10, 1, 10, 1}, {0, 0, 1, 3, 2, 4, 2, 2},
 		{5, 5, 0, 5, 5, 1, 3, 1}, {2, 2, 6, 0, 9, 1, 3, 1}, {2, 2, 6, 9, 0, 1, 3, 1}, {0, 0, 4, 0, 0, 1, 1, 1},
 	} {
 		got := Payoff(tc.highSlots, tc.lowSlots, tc.poolSlots,
-			Load{tc.highRate, tc.lowRate, tc.service, tc.highValue, tc.lowValue}, lowPerHigh)
+			Load{tc.highRate, tc.lowRate, tc.serviceRate, tc.highValue, tc.lowValue}, lowPerHigh)
 		want := payoffByPaperSums(tc.highSlots, tc.lowSlots, tc.poolSlots,
-			tc.highRate, tc.lowRate, tc.service, tc.highValue, tc.lowValue)
+			tc.highRate, tc.lowRate, tc.serviceRate, tc.highValue, tc.lowValue)
 		if math.Abs(got-want) > 1e-9*(1+math.Abs(want)) {
 			t.Errorf("payoff of %+v: got %v, want %v", tc, got, want)
 		}
@@ -65,11 +66,11 @@
 }
 
 func TestSplitEdgeCasesAndOptimum(t *testing.T) {
-	for _, tc := range []struct{ slots, highRate, lowRate, service, highValue, lowValue float64 }{
+	for _, tc := range []struct{ slots, highRate, lowRate, serviceRate, highValue, lowValue float64 }{
 		{math.Inf(1), 5, 5, 1, 2, 1}, {1, 5, 5, 1, 2, 1}, {16, 0, 9, 1, 2, 1}, {16, 9, 0, 1, 2, 1},
 		{16, 9, 9, 1, 1, 1}, {3000, 2000, 2000, 1, 2, 1}, {16, 0, 0, 1, 0, 0},
 	} {
-		high, low := Split(tc.slots, Load{tc.highRate, tc.lowRate, tc.service, tc.highValue, tc.lowValue},
+		high, low := Split(tc.slots, Load{tc.highRate, tc.lowRate, tc.serviceRate, tc.highValue, tc.lowValue},
 			lowPerHigh, searchSteps)
 		if math.IsNaN(high) || high < 0 || low < 0 || high+low > tc.slots || math.IsInf(tc.slots, 1) && high+low != 0 {
 			t.Errorf("split of %+v: invalid reserves: high %v, low %v", tc, high, low)
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -8,7 +8,7 @@
 // fleet.
 type Position struct {
 	Gateways int    // number of gateways that serve the customer, at least 1
-	Offset   int    // of this gateway from the first of them, from 0; Gateways or more if it is none of them
+	Offset   int    // index of this gateway among them, from 0; Gateways or more if it does not serve the customer
 	Customer uint64 // the customer's number
 }
 
@@ -24,8 +24,8 @@
 }
 
 // BucketShares returns the number of shares into which a token bucket of the given size is split: one for each gateway,
-// or, if such a share could never hold the largest request, as many as can, but at least 1. The largest request is in
-// units as the size is; if it is 0 or less, each gateway has a share.
+// or, if such a share could never hold the largest request, as many as can hold it, but at least 1. The largest request
+// is in the same unit as the size; if it is 0 or less, each gateway has a share.
 func (p Position) BucketShares(size, largestRequest float64) int {
 	if largestRequest <= 0 {
 		return p.Gateways
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -143,6 +143,7 @@
 	var maxCounts [20]int // trials by the highest occupancy plus 1; element 0 holds that of the current trial
 	for range trials {
 		var ends []float64
+		// Arrivals begin 10 mean service times before the period, so that it starts in equilibrium.
 		for now, first := -10.0, true; now < serviceTimes; first = false {
 			if !first {
 				ends = append(ends, now+rng.ExpFloat64())
