--- a/internal/gateway/excess.go
+++ b/internal/gateway/excess.go
@@ -35,8 +35,8 @@
 )
 
 // admitExcess reports whether a request is admitted though it may be beyond the quota. The admission is certain if its
-// expected value is at least its expected price, and less probable the lower the value is. Of the customers that are
-// not known yet, a minimum share is admitted at any price.
+// expected value is at least its expected cost times the shadow price of its class, and less probable the lower the
+// value is. Of the customers that are not known yet, a minimum share is admitted at any price.
 func (g *Gateway) admitExcess(customer *customerState, class *classState, units float64) bool {
 	plan, usage := customer.plan, customer.usage
 	retryShare := g.updateRetryShare(customer, class, units)
--- a/internal/gateway/reserves.go
+++ b/internal/gateway/reserves.go
@@ -89,7 +89,7 @@
 	return true
 }
 
-// freeSlot releases a slot after its attempt has ended.
+// freeSlot releases a slot after the last attempt that held it has ended.
 func (g *Gateway) freeSlot(slot *heldSlot) {
 	slot.freed = true
 	g.inUse[slot.partition]--
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -14,11 +14,11 @@
 // Indices of the partitions of the slots of the concurrency limit: a reserve for each tier, and a shared pool.
 const highReserve, lowReserve, sharedPool = 0, 1, 2
 
-// heldSlot is a slot of the concurrency limit that an attempt holds.
+// heldSlot is a slot of the concurrency limit that an attempt of a request holds, and after it the retry.
 type heldSlot struct {
 	partition int  // highReserve, lowReserve or sharedPool
 	marked    bool // sub-rated in favour of a request of the high tier
-	freed     bool // its attempt has ended
+	freed     bool // released by freeSlot
 }
 
 // classState is a class and what the gateway has measured of its requests.
