--- a/cmd/scalelab/main.go
+++ b/cmd/scalelab/main.go
@@ -58,9 +58,8 @@
 	ctx, cancel := context.WithTimeout(ctx, args.Limit)
 	defer cancel()
 	options := scalelab.Options{Experiments: args.Experiments, Seed: args.Seed, Repeats: args.Repeats,
-		Gateways:     args.Gateways,
-		SumsBackends: args.SumsBackends, ChurnGateways: args.ChurnGateways, Watches: args.Watches, Listed: args.Listed,
-		SocketTime: args.SocketTime}
+		Gateways: args.Gateways, SumsBackends: args.SumsBackends, ChurnGateways: args.ChurnGateways,
+		Watches: args.Watches, Listed: args.Listed, SocketTime: args.SocketTime}
 	if len(options.Experiments) == 0 {
 		options.Experiments = scalelab.Experiments
 	}
@@ -79,6 +78,7 @@
 	return errors.Join(err, report.WriteTable(out))
 }
 
+// writeJSON writes the report to a new file, or replaces an existing one.
 func writeJSON(path string, report *scalelab.Report) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/cmd/scalelab/main_test.go
+++ b/cmd/scalelab/main_test.go
@@ -12,8 +12,7 @@
 
 func testArguments() arguments {
 	return arguments{Experiments: []string{"quota"}, Seed: 1, Repeats: 1, Gateways: 1000, SumsBackends: 10,
-		ChurnGateways: 3,
-		Watches:       1, SocketTime: time.Second, Limit: time.Nanosecond}
+		ChurnGateways: 3, Watches: 1, SocketTime: time.Second, Limit: time.Nanosecond}
 }
 
 // A run that exceeds its time limit returns an error, and marks its table and its JSON report as cut short.
@@ -23,7 +22,7 @@
 	var table bytes.Buffer
 	err := run(t.Context(), args, &table, io.Discard)
 	if err == nil || !strings.Contains(err.Error(), "cut short") || !strings.Contains(table.String(), "CUT SHORT") {
-		t.Errorf("error %v, table %.60q", err, table.String())
+		t.Errorf("error %v, table %.60q; want both to say that the run was cut short", err, table.String())
 	}
 	if text, err := os.ReadFile(args.JSON); err != nil || !strings.Contains(string(text), `"cut_short": "quota`) {
 		t.Errorf("JSON report %.200q, error %v", text, err)
--- a/cmd/standin/environment.go
+++ b/cmd/standin/environment.go
@@ -47,15 +47,14 @@
 	return &environment{servers: servers, agent: agent}, nil
 }
 
-// endpoints returns a list of backends at the addresses. All are ready and have been running long enough to be warm.
+// endpoints returns a list of backends at the addresses. All are ready and, as their start time is 0, warm.
 func endpoints(addresses []string) []frontdoor.Endpoint {
-	hosts := make([]frontdoor.Endpoint, len(addresses))
+	list := make([]frontdoor.Endpoint, len(addresses))
 	for i, address := range addresses {
-		hosts[i] = frontdoor.Endpoint{Host: fmt.Sprintf("backend-%d", i+1), Address: address, Zone: "zone-a",
-			Kind: "standin",
-			Cell: i, State: "Ready", Weight: 1}
+		list[i] = frontdoor.Endpoint{Host: fmt.Sprintf("backend-%d", i+1), Address: address, Zone: "zone-a",
+			Kind: "standin", Cell: i, State: "Ready", Weight: 1}
 	}
-	return hosts
+	return list
 }
 
 // stop stops the agent and the backends.
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -49,8 +49,9 @@
 		return err
 	}
 	defer env.stop()
-	_, err = fmt.Fprintf(out, "%d backends; discovery at %s\n\nStart the gateway:\n\n    NODE_CONFIG=%s bin/herontiller\n\n"+
-		"Send a request, each with a new Request-Id:\n\n%s\n", args.Backends, env.agent.Address, args.Config,
+	_, err = fmt.Fprintf(out,
+		"%d backends; discovery at %s\n\nStart the gateway:\n\n    NODE_CONFIG=%s bin/herontiller\n\n"+
+			"Send a request, each with a new Request-Id:\n\n%s\n", args.Backends, env.agent.Address, args.Config,
 		curlCommand(request))
 	if err != nil {
 		return err
--- a/internal/scalelab/backends.go
+++ b/internal/scalelab/backends.go
@@ -5,6 +5,9 @@
 	"time"
 )
 
+// connectFailureTime is the duration of an attempt at a backend that is down.
+const connectFailureTime = time.Millisecond
+
 // Backends simulates the backends: each attempt is answered after an exponentially distributed time, unless its
 // backend is down.
 type Backends struct {
@@ -20,11 +23,12 @@
 		attempts: make([]int, count+1)}
 }
 
-// StartAttempt counts an attempt and returns its duration and whether it ends with an answer.
+// StartAttempt counts an attempt and returns its duration and whether it ends with an answer. An attempt without an
+// answer has failed to connect.
 func (b *Backends) StartAttempt(id BackendID) (duration time.Duration, answered bool) {
 	b.attempts[id]++
 	if b.down[id] {
-		return time.Millisecond, false
+		return connectFailureTime, false
 	}
 	return time.Duration(b.random.ExpFloat64() * float64(b.meanAttemptTime)), true
 }
--- a/internal/scalelab/capacity.go
+++ b/internal/scalelab/capacity.go
@@ -16,14 +16,19 @@
 	Basis  string  `json:"basis"` // how the figure was obtained
 }
 
-// Limits on growth set by the operators, and constants from which the rows are computed.
+// Limits set by the operators, and constants from which the rows are computed.
 const (
-	maxGrowth           = 1.5 // cost with the target's backends over the cost with 1,000
+	maxGrowth           = 1.5 // cost with the target's backends over the cost with growthBaseBackends
+	growthBaseBackends  = 1000
 	maxLoadRatio        = 1.1 // load of the busiest backend over the mean
-	customerIdleSeconds = 60  // after which a gateway drops the state of a customer
-	activeCustomers     = TargetRequestRate * customerIdleSeconds
-	secondsPerDay       = 24 * 60 * 60
-	entriesPerRestart   = 3 // list changes of one restart: draining, gone, ready
+	customerIdleSeconds = 60  // without requests, after which a gateway deletes the state of a customer
+
+	// activeCustomers is the highest number of customers with state in a gateway: if each of the requests within
+	// customerIdleSeconds is from a different customer.
+	activeCustomers = TargetRequestRate * customerIdleSeconds
+
+	secondsPerDay     = 24 * 60 * 60
+	entriesPerRestart = 3 // list changes of one restart: draining, gone, ready; a failure has at most as many
 )
 
 // capacity computes the rows of all experiments that ran, highest ratio first.
@@ -59,13 +64,13 @@
 	return 0
 }
 
-// growthRows compares the cost with the target's backends to the cost with 1,000 backends.
+// growthRows compares the cost with the target's backends to the cost with growthBaseBackends.
 func (r *Report) growthRows() (rows []CapacityRow) {
 	for _, figure := range []string{"request and outcome", "request while 1 in 100 backends is cold", "list change",
 		"program: list change"} {
 		if slope := r.findSlope("backends", figure, "us"); slope != nil {
 			rows = append(rows, CapacityRow{What: figure + ": cost at 51,000 backends over that at 1,000",
-				Figure: slope.valueAt(TargetBackends) / slope.valueAt(1000), Budget: maxGrowth,
+				Figure: slope.valueAt(TargetBackends) / slope.valueAt(growthBaseBackends), Budget: maxGrowth,
 				Unit: "times", Basis: "measured"})
 		}
 	}
@@ -91,8 +96,9 @@
 			r.addedBy("classes", figure, unit, slopeBase.Classes, TargetRoutes) +
 			r.addedBy("gateways", figure, unit, slopeBase.Gateways, TargetGateways)
 	}
-	tick, request := extrapolate("tick", "us")/1e6, extrapolate("request and outcome", "us")
-	changes := r.findSlope("backends", "program: list change", "us").valueAt(TargetBackends) / 1e6 *
+	// The gateway handles one tick per second. tickCPU and changeCPU are shares of a core.
+	tickCPU, requestMicros := extrapolate("tick", "us")/1e6, extrapolate("request and outcome", "us")
+	changeCPU := r.findSlope("backends", "program: list change", "us").valueAt(TargetBackends) / 1e6 *
 		(TargetRestarts + TargetFailures) * entriesPerRestart / secondsPerDay
 	const megabyte = 1 << 20
 	settingsLength := r.findSlope("classes", "settings", "bytes").valueAt(TargetRoutes)
@@ -100,16 +106,17 @@
 	return append(rows,
 		CapacityRow{What: "gateway: state of the decision module", Figure: extrapolate("state", "bytes") / megabyte,
 			Budget: BudgetControlMemory / megabyte, Unit: "MB", Basis: "sum of measured slopes"},
-		CapacityRow{What: "gateway: processor time of tick and list changes", Figure: (tick + changes) * 100,
+		CapacityRow{What: "gateway: processor time of tick and list changes", Figure: (tickCPU + changeCPU) * 100,
 			Budget: BudgetControlCPU * 100, Unit: "% of a core", Basis: "sum of measured slopes"},
 		CapacityRow{What: "gateway: live heap of the program with module, list and settings", Unit: "MB",
+			// The program is measured without customers, so their state is added from the decision module.
 			Figure: (extrapolate("program: state", "bytes") +
 				r.addedBy("customers", "state", "bytes", 0, activeCustomers)) / megabyte,
 			Budget: BudgetControlMemory / megabyte, Basis: "sum of measured slopes"},
 		CapacityRow{What: "gateway: decision of one request while 1 in 100 backends is cold", Unit: "us",
 			Figure: extrapolate("request while 1 in 100 backends is cold", "us"), Basis: "sum of measured slopes",
 			Budget: float64(BudgetAddedLatency.Microseconds())},
-		CapacityRow{What: "gateway: decision of one request", Figure: request, Unit: "us",
+		CapacityRow{What: "gateway: decision of one request", Figure: requestMicros, Unit: "us",
 			Basis: "sum of measured slopes", Budget: float64(BudgetAddedLatency.Microseconds())},
 		CapacityRow{What: "gateway: whole settings at each of 2,400 changes a day", Unit: "bytes/s",
 			Figure: settingsLength * TargetConfigChanges / secondsPerDay, Budget: BudgetControlBytes,
@@ -141,7 +148,8 @@
 	return rows
 }
 
-// peakSecondRow reports the most bytes that a gateway received within a second, and the phase in which it did.
+// peakSecondRow reports the most bytes of list changes that a gateway received within a second, and the phase to which
+// that second belongs.
 func (c ChurnResult) peakSecondRow() CapacityRow {
 	worst := slices.MaxFunc(c.Phases, func(a, b *Phase) int {
 		return cmp.Compare(a.MaxBytesPerSecond, b.MaxBytesPerSecond)
--- a/internal/scalelab/churn.go
+++ b/internal/scalelab/churn.go
@@ -42,7 +42,7 @@
 	clock        *Clock
 	random       *rand.Rand
 	discovery    *Discovery
-	scale        float64 // share of the target's restarts and failures
+	scale        float64 // share of the target's restarts and failures that occur
 	backendCount int
 	unavailable  map[BackendID]bool // restarting or failed; other events skip them
 }
@@ -62,7 +62,7 @@
 	if backends < 2*TargetZones {
 		return result, fmt.Errorf("%d backends are too few for %d zones: each needs at least 2", backends, TargetZones)
 	}
-	clock, random := &Clock{now: simulationStart}, rand.New(rand.NewPCG(seed, 3))
+	clock, random := &Clock{now: simulationStart}, rand.New(rand.NewPCG(seed, churnStream))
 	list := newBackends(backends)
 	hollows := make([]*HollowGateway, gateways)
 	for number := range hollows {
@@ -78,6 +78,7 @@
 	scenario := &churnScenario{clock: clock, random: random, scale: result.Scale, backendCount: backends,
 		unavailable: map[BackendID]bool{}, discovery: NewDiscovery(clock, random, list, hollows)}
 	result.Phases = scenario.schedulePhases(&result)
+	// A machine that fails at the end of the day returns within machineRepairTime, and the last minute is for delivery.
 	clock.RunUntil(simulationStart+day+machineRepairTime+time.Minute, func() bool {
 		progress.Show("churn: %v of the day simulated", (clock.Now() - simulationStart).Round(time.Minute))
 		return ctx.Err() != nil
@@ -141,7 +142,8 @@
 	return BackendID(s.random.IntN(s.backendCount) + 1)
 }
 
-// randomRack returns the backends of a rack. All of them are in one zone.
+// randomRack returns the backends of a rack. All of them are in one zone if the number of backends is a multiple of
+// TargetZones. Otherwise the rack may continue in another zone and name a backend twice; fail ignores the second time.
 func (s *churnScenario) randomRack() (ids []BackendID) {
 	first := s.random.IntN(s.backendCount)
 	for i := range min(rackSize, s.backendCount/2) {
--- a/internal/scalelab/clock.go
+++ b/internal/scalelab/clock.go
@@ -50,11 +50,15 @@
 	heap.Push(&c.queue, scheduledEvent{due: c.now + max(0, delay), sequence: c.sequence, run: run})
 }
 
-// RunUntil runs all events that are due until end and sets the clock to end. It calls canceled once per 1024
-// events and returns early, without setting the clock to end, if it reports true.
+// eventsPerCheck is the number of events that a clock runs between two checks for cancellation.
+const eventsPerCheck = 1024
+
+// RunUntil runs all events that are due until end and sets the clock to end. It calls canceled before the
+// first event and then once per eventsPerCheck events. If canceled reports true, it returns early and does not set the
+// clock to end.
 func (c *Clock) RunUntil(end time.Duration, canceled func() bool) {
 	for count := 0; len(c.queue) > 0 && c.queue[0].due <= end; count++ {
-		if count%1024 == 0 && canceled() {
+		if count%eventsPerCheck == 0 && canceled() {
 			return
 		}
 		event := heap.Pop(&c.queue).(scheduledEvent)
--- a/internal/scalelab/discovery.go
+++ b/internal/scalelab/discovery.go
@@ -9,12 +9,12 @@
 
 // Discovery simulates service discovery, with one agent per gateway, on the simulated clock. A change reaches an agent
 // after a random delay, together with all changes published in the meantime. An agent that was cut off receives the
-// changes that it missed, or the whole list if they are more than maxIncrementalEntries.
+// changes that it missed, or the full list if they are more than maxIncrementalEntries.
 type Discovery struct {
 	clock        *Clock
 	random       *rand.Rand
-	current      []BackendInfo
-	publications []publication
+	current      []BackendInfo // entry of each backend, at its ID minus 1
+	publications []publication // all so far, oldest first
 	agents       []*simulatedAgent
 }
 
@@ -22,7 +22,7 @@
 const (
 	minPropagationDelay   = 200 * time.Millisecond
 	maxPropagationDelay   = 2 * time.Second
-	maxIncrementalEntries = 10_000 // above this an agent receives the whole list instead of the changes
+	maxIncrementalEntries = 10_000 // above this an agent receives the full list instead of the changes
 )
 
 // publication is one published change of a list entry.
@@ -39,7 +39,7 @@
 	Name                  string  `json:"name"`
 	PublishedEntries      int     `json:"published"`
 	Messages              int     `json:"messages"`    // over all gateways
-	WholeLists            int     `json:"whole_lists"` // messages that held the whole list
+	FullLists             int     `json:"whole_lists"` // messages that held the full list
 	BytesPerGateway       float64 `json:"bytes_per_gateway"`
 	CPUMillisPerGateway   float64 `json:"cpu_ms_per_gateway"`
 	MaxBytesPerSecond     int     `json:"most_bytes_in_a_second"`  // at any gateway
@@ -67,14 +67,14 @@
 
 // simulatedAgent is the discovery agent of one gateway.
 type simulatedAgent struct {
-	gateway             *HollowGateway
-	delivered           int // number of publications
-	deliveryScheduled   bool
-	cutOff              bool
-	busyUntil           time.Duration
-	second              time.Duration // the second to which secondBytes and secondProcessorTime belong
-	secondBytes         int
-	secondProcessorTime time.Duration
+	gateway           *HollowGateway
+	delivered         int // number of publications that the gateway has received
+	deliveryScheduled bool
+	cutOff            bool          // from discovery
+	busyUntil         time.Duration // simulated time at which the gateway has applied all deliveries
+	second            time.Duration // the second to which secondBytes and secondCPUTime belong
+	secondBytes       int
+	secondCPUTime     time.Duration
 }
 
 // NewDiscovery returns the discovery service of gateways that have already applied the list. It takes ownership of the
@@ -123,50 +123,51 @@
 	})
 }
 
-// deliver sends all pending changes to an agent's gateway and measures the cost.
+// deliver sends all pending changes to an agent's gateway and measures the cost. The measured processor time counts as
+// part of the delay.
 func (d *Discovery) deliver(agent *simulatedAgent) {
 	pending := d.publications[agent.delivered:]
 	agent.delivered = len(d.publications)
-	whole := len(pending) > maxIncrementalEntries
+	full := len(pending) > maxIncrementalEntries
 	entries, bytes := coalesce(pending)
-	if whole {
+	if full {
 		entries = d.listedBackends()
 		bytes = encodedListBytes(int64(agent.delivered), true, entries)
 	}
 	now := d.clock.Now()
 	before := processorTime()
-	if whole {
+	if full {
 		agent.gateway.ApplyList(now, entries)
 	} else {
 		agent.gateway.ApplyChanges(now, entries)
 	}
-	used := processorTime() - before
-	agent.busyUntil = max(agent.busyUntil, now) + used
-	d.account(agent, pending, whole, bytes, used)
+	cpuTime := processorTime() - before
+	agent.busyUntil = max(agent.busyUntil, now) + cpuTime
+	d.account(agent, pending, full, bytes, cpuTime)
 }
 
-// account attributes the bytes and the processor time of a message to the phases of its entries, in proportion to their
-// number. The message itself counts for the phase of its first entry.
-func (d *Discovery) account(agent *simulatedAgent, pending []publication, whole bool, bytes int, used time.Duration) {
+// account attributes the bytes and the processor time of a message to the phases of its publications, in proportion to
+// their number. The message itself, and the totals of the agent's second, count for the phase of the first publication.
+func (d *Discovery) account(agent *simulatedAgent, pending []publication, full bool, bytes int, cpuTime time.Duration) {
 	now := d.clock.Now()
 	if second := now.Truncate(time.Second); second != agent.second {
-		agent.second, agent.secondBytes, agent.secondProcessorTime = second, 0, 0
+		agent.second, agent.secondBytes, agent.secondCPUTime = second, 0, 0
 	}
 	agent.secondBytes += bytes
-	agent.secondProcessorTime += used
+	agent.secondCPUTime += cpuTime
 	share := 1 / float64(len(pending))
 	for i, published := range pending {
 		phase := published.phase
 		if i == 0 {
 			phase.Messages++
-			if whole {
-				phase.WholeLists++
+			if full {
+				phase.FullLists++
 			}
 			phase.MaxBytesPerSecond = max(phase.MaxBytesPerSecond, agent.secondBytes)
-			phase.MaxCPUMillisPerSecond = max(phase.MaxCPUMillisPerSecond, agent.secondProcessorTime.Seconds()*1000)
+			phase.MaxCPUMillisPerSecond = max(phase.MaxCPUMillisPerSecond, agent.secondCPUTime.Seconds()*1000)
 		}
 		phase.BytesPerGateway += share * float64(bytes)
-		phase.CPUMillisPerGateway += share * used.Seconds() * 1000
+		phase.CPUMillisPerGateway += share * cpuTime.Seconds() * 1000
 		// Delays are below a day, so that all values are in the range of the histogram.
 		_ = phase.delays.RecordValue(max(1, (agent.busyUntil - published.publishedAt).Microseconds()))
 	}
--- a/internal/scalelab/fixture.go
+++ b/internal/scalelab/fixture.go
@@ -40,8 +40,8 @@
 const (
 	meterPeriod        = 500 * time.Millisecond
 	classTargetLatency = 600 * time.Millisecond
-	requestDeadline    = 2500 * time.Millisecond
-	maxRequestUnits    = 8
+	requestDeadline    = 2500 * time.Millisecond // deadline of every class and client timeout of every request
+	maxRequestUnits    = 8                       // units of the largest request
 )
 
 // newSettings returns the settings of a fleet of the size, with a plan whose quota the generated traffic never
--- a/internal/scalelab/fleet.go
+++ b/internal/scalelab/fleet.go
@@ -20,16 +20,16 @@
 	lastID      RequestID
 
 	// Callbacks of the experiment.
-	OnSend   func(hollow *HollowGateway, attempt Attempt)
-	OnAnswer func(request Request)
-	OnReject func(hollow *HollowGateway, request Request)
+	OnSend   func(hollow *HollowGateway, attempt Attempt) // before the attempt starts
+	OnAnswer func(request Request)                        // before the gateway handles the answer
+	OnReject func(hollow *HollowGateway, request Request) // rejected or failed requests
 }
 
 const meanAttemptTime = 100 * time.Millisecond // of an attempt at a simulated backend
 
 // NewFleet starts all gateways of the settings with the list of backends. Meter readings arrive after readingDelay.
 func NewFleet(settings Settings, list []BackendInfo, readingDelay time.Duration, seed uint64) (*Fleet, error) {
-	random := rand.New(rand.NewPCG(seed, 2))
+	random := rand.New(rand.NewPCG(seed, fleetStream))
 	fleet := &Fleet{Clock: &Clock{now: simulationStart}, Random: random, settings: settings, plans: map[string]Plan{},
 		Backends: NewBackends(len(list), meanAttemptTime, random), Meter: NewMeter(settings.MeterPeriod, readingDelay),
 		Gateways: make([]*HollowGateway, settings.Gateways), processRuns: make([]int, settings.Gateways),
--- a/internal/scalelab/hollow.go
+++ b/internal/scalelab/hollow.go
@@ -50,7 +50,7 @@
 	Number   int
 	module   *gateway.Gateway
 	host     Host
-	actions  []gateway.Action
+	actions  []gateway.Action // reused for the actions of the next event
 	inFlight map[RequestID]*inFlightRequest
 }
 
@@ -71,7 +71,7 @@
 	return &HollowGateway{Number: number, module: module, host: host, inFlight: map[RequestID]*inFlightRequest{}}, nil
 }
 
-// ApplyList replaces the whole list of backends.
+// ApplyList replaces the full list of backends.
 func (h *HollowGateway) ApplyList(now time.Duration, backends []BackendInfo) {
 	h.handle(now, gateway.BackendList{Kind: gateway.ListFull, Backends: backends})
 }
--- a/internal/scalelab/lab.go
+++ b/internal/scalelab/lab.go
@@ -41,6 +41,14 @@
 
 const maxRepeats = 100
 
+// Streams of random numbers. Each kind of simulation draws from a separate one, so that equal seeds do not correlate
+// them.
+const (
+	singleStream = 1 // one gateway
+	fleetStream  = 2 // quota and sums experiments
+	churnStream  = 3
+)
+
 // Validate returns an error that names the first option that is unknown or out of range.
 func (o Options) Validate() error {
 	if len(o.Experiments) == 0 {
--- a/internal/scalelab/load.go
+++ b/internal/scalelab/load.go
@@ -24,7 +24,8 @@
 
 const clientTimeout = 3 * time.Second
 
-// loadClient sends requests to one address over persistent connections and records their latencies.
+// loadClient sends requests to one address over persistent connections and records their latencies. It keeps as many
+// idle connections as a burst has requests, so that a later burst can reuse them.
 type loadClient struct {
 	address   string
 	transport *http.Transport
@@ -67,7 +68,8 @@
 	c.record(due, err)
 }
 
-// record counts a request and, if it succeeded, its latency.
+// record counts a request and, if it succeeded, its latency. A latency above a minute, the end of the histogram's
+// range, counts as a minute.
 func (c *loadClient) record(due time.Time, err error) {
 	latency := time.Since(due)
 	c.mu.Lock()
--- a/internal/scalelab/meter.go
+++ b/internal/scalelab/meter.go
@@ -5,10 +5,14 @@
 // Meter simulates the usage meter: it sums the units that all gateways send to backends for a customer in each period.
 // Its readings become available after a delay.
 type Meter struct {
-	period, delay time.Duration
+	period, delay time.Duration                    // delay is the time from a period's end to its reading
 	unitsByPeriod map[CustomerID]map[int64]float64 // by customer and index of the period
 }
 
+// retainedPeriods is the number of periods that a meter keeps in addition to those of the delay. No reading refers to
+// an older one.
+const retainedPeriods = 8
+
 // NewMeter returns a meter whose readings become available the given delay after the end of their period.
 func NewMeter(period, delay time.Duration) *Meter {
 	return &Meter{period: period, delay: delay, unitsByPeriod: map[CustomerID]map[int64]float64{}}
@@ -23,7 +27,7 @@
 	}
 	current := int64(now / m.period)
 	periods[current] += units
-	delete(periods, current-int64(m.delay/m.period)-8) // too old for any later reading
+	delete(periods, current-int64(m.delay/m.period)-retainedPeriods)
 }
 
 // Reading returns the usage in the last finished period whose reading is available, in percent of the rate. It returns
--- a/internal/scalelab/program.go
+++ b/internal/scalelab/program.go
@@ -8,11 +8,12 @@
 	"herontiller/internal/frontdoor"
 )
 
-// loopTimerDelay is the longest time until the last timer of a closed loop fires.
+// loopTimerDelay is the longest time until the last timer of a closed loop fires. That timer is the tick, which is due
+// once per second.
 const loopTimerDelay = 1100 * time.Millisecond
 
 // measureProgram measures the cost of the real program around the decision module: loading the configuration file, and
-// applying the list and its changes in the event loop that owns the module. It uses no sockets.
+// applying the full list and changes of one entry in the event loop that owns the module. It uses no sockets.
 func (c *Cost) measureProgram(backends []BackendInfo, settings Settings, random *rand.Rand) error {
 	var config frontdoor.Config
 	var err error
@@ -20,11 +21,11 @@
 	if err != nil {
 		return err
 	}
-	hosts := make([]frontdoor.Endpoint, len(backends))
+	endpoints := make([]frontdoor.Endpoint, len(backends))
 	for i, backend := range backends {
-		hosts[i] = toEndpoint(asReady(backend, 0), backendAddress(backend.ID))
+		endpoints[i] = toEndpoint(asReady(backend, 0), backendAddress(backend.ID))
 	}
-	before := liveHeapBytes()
+	heapBefore := liveHeapBytes()
 	loop, err := frontdoor.NewLoop(config, frontdoor.NewBackends(config))
 	if err != nil {
 		return err
@@ -35,18 +36,18 @@
 		time.Sleep(loopTimerDelay)
 	}()
 	c.ProgramListMicros = processorMicros(func() {
-		loop.Update(frontdoor.EndpointList{Version: 1, Full: true, Endpoints: hosts})
+		loop.Update(frontdoor.EndpointList{Version: 1, Full: true, Endpoints: endpoints})
 	}, 1)
-	c.ProgramStateBytes = float64(liveHeapBytes()) - float64(before)
+	c.ProgramStateBytes = float64(liveHeapBytes()) - float64(heapBefore)
 	c.ProgramChangeMicros = processorMicros(func() {
 		for range measuredChanges / 2 {
-			host := hosts[random.IntN(len(hosts))]
-			for _, health := range []string{"Terminating", "Ready"} {
-				host.State = health
-				loop.Update(frontdoor.EndpointList{Endpoints: []frontdoor.Endpoint{host}})
+			endpoint := endpoints[random.IntN(len(endpoints))]
+			for _, state := range []string{"Terminating", "Ready"} {
+				endpoint.State = state
+				loop.Update(frontdoor.EndpointList{Endpoints: []frontdoor.Endpoint{endpoint}})
 			}
 		}
 	}, measuredChanges)
-	runtime.KeepAlive(hosts)
+	runtime.KeepAlive(endpoints)
 	return nil
 }
--- a/internal/scalelab/quota.go
+++ b/internal/scalelab/quota.go
@@ -14,8 +14,8 @@
 	Spread           int     `json:"spread"`   // gateways that each customer uses
 	Rate             float64 `json:"rate"`     // of the quota, units per second
 	HasCeiling       bool    `json:"has_ceiling"`
-	HeavySentRatio   float64 `json:"sent"`            // units sent for heavy customers over their quotas
-	ExcessShare      float64 `json:"beyond"`          // share of the sent units beyond the exact buckets
+	HeavySentRatio   float64 `json:"sent"`            // units sent for heavy customers over their quotas with burst
+	ExcessShare      float64 `json:"beyond"`          // share of the sent units that exceeded the exact quotas
 	LightServedShare float64 `json:"calm_served"`     // share of the units requested by light customers that was sent
 	CeilingOverrun   float64 `json:"ceiling_overrun"` // largest overdraft of an exact ceiling bucket over the slack
 	Requests         int     `json:"requests"`
@@ -35,28 +35,30 @@
 	quotaPlan     = "quota" // name of the plan
 	burstSeconds  = 3.0     // burst of the quota over its rate
 	ceilingFactor = 2.0     // rate and burst of the ceiling over those of the quota
-	meanUnits     = 2.0     // of a request
+	meanUnits     = 2.0     // of a request, rounded
+	unitsScale    = 1.5     // mean of the exponential distribution behind the units of a request
+	useExponent   = 2.5     // unevenness of the use of gateways; 1 is even use
 )
 
-// trueBucket is an exact token bucket of a quota or a ceiling over all gateways. It serves as the reference for their
+// exactBucket is an exact token bucket of a quota or a ceiling over all gateways. It serves as the reference for their
 // decisions; no gateway sees it.
-type trueBucket struct {
+type exactBucket struct {
 	tokens, rate, burst float64
 	refilledAt          time.Duration
 }
 
 // refill adds the tokens earned since the last refill.
-func (b *trueBucket) refill(now time.Duration) {
+func (b *exactBucket) refill(now time.Duration) {
 	b.tokens = min(b.burst, b.tokens+b.rate*(now-b.refilledAt).Seconds())
 	b.refilledAt = now
 }
 
 // quotaCustomer is a simulated customer with its exact buckets and its totals.
 type quotaCustomer struct {
-	quota, ceiling                         trueBucket
+	quota, ceiling                         exactBucket
 	firstGateway                           int
 	requestedUnits, sentUnits, excessUnits float64
-	minCeilingTokens                       float64 // negative after an overdraft
+	minCeilingTokens                       float64 // 0, or the largest overdraft as a negative number
 }
 
 // RunQuota simulates heavy and light customers, each of which uses spread of the fleet's gateways. Their quota has the
@@ -107,15 +109,15 @@
 	requests  int
 }
 
-// newQuotaSimulation returns a simulation that receives the callbacks of the fleet. The buckets of all customers start
-// full.
+// newQuotaSimulation returns a simulation whose recordSend is called for each attempt of the fleet. The buckets of
+// all customers start full.
 func newQuotaSimulation(fleet *Fleet, plan Plan, spread int) *quotaSimulation {
 	simulation := &quotaSimulation{fleet: fleet, spread: spread,
 		customers: make([]quotaCustomer, heavyCount+lightCount)}
 	for i := range simulation.customers {
 		simulation.customers[i] = quotaCustomer{firstGateway: fleet.Random.IntN(len(fleet.Gateways)),
-			quota: trueBucket{tokens: plan.Burst, rate: plan.Rate, burst: plan.Burst, refilledAt: simulationStart},
-			ceiling: trueBucket{tokens: plan.CeilingBurst, rate: plan.CeilingRate, burst: plan.CeilingBurst,
+			quota: exactBucket{tokens: plan.Burst, rate: plan.Rate, burst: plan.Burst, refilledAt: simulationStart},
+			ceiling: exactBucket{tokens: plan.CeilingBurst, rate: plan.CeilingRate, burst: plan.CeilingBurst,
 				refilledAt: simulationStart}}
 	}
 	fleet.OnSend = simulation.recordSend
@@ -131,17 +133,19 @@
 		number = heavyCount + random.IntN(lightCount)
 	}
 	customer := &s.customers[number]
-	units := min(maxRequestUnits, 1+math.Floor(random.ExpFloat64()*1.5))
+	units := min(maxRequestUnits, 1+math.Floor(random.ExpFloat64()*unitsScale))
 	customer.requestedUnits += units
 	s.requests++
-	// Uneven use: the first gateway receives several times the requests of the last.
-	offset := int(float64(s.spread) * math.Pow(random.Float64(), 2.5))
+	// Uneven use: the first gateway receives 3 times the requests of the last with a spread of 2, and about 160 times
+	// as many with 1,000.
+	offset := int(float64(s.spread) * math.Pow(random.Float64(), useExponent))
 	gateway := (customer.firstGateway + offset) % len(s.fleet.Gateways)
 	s.fleet.SubmitRequest(gateway, Request{Customer: CustomerID(number), Class: className(0), Plan: quotaPlan,
 		Units: units, FirstGateway: customer.firstGateway, GatewayCount: s.spread})
 }
 
-// recordSend checks the first attempt of a request against the exact buckets of its customer.
+// recordSend checks the first attempt of a request against the exact buckets of its customer. Later attempts of a
+// request are not charged again.
 func (s *quotaSimulation) recordSend(_ *HollowGateway, attempt Attempt) {
 	if attempt.Number > 0 {
 		return
--- a/internal/scalelab/report.go
+++ b/internal/scalelab/report.go
@@ -104,7 +104,7 @@
 				"until applied: median ms\t99th\tmax")
 		for _, phase := range churn.Phases {
 			fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%.0f\t%.1f\t%d\t%.1f\t%.0f\t%.0f\t%.0f\n", phase.Name,
-				phase.PublishedEntries, phase.Messages, phase.WholeLists, phase.BytesPerGateway,
+				phase.PublishedEntries, phase.Messages, phase.FullLists, phase.BytesPerGateway,
 				phase.CPUMillisPerGateway, phase.MaxBytesPerSecond, phase.MaxCPUMillisPerSecond,
 				phase.MedianDelayMillis, phase.P99DelayMillis, phase.MaxDelayMillis)
 		}
--- a/internal/scalelab/scalelab_test.go
+++ b/internal/scalelab/scalelab_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-func TestNewFit(t *testing.T) {
+func TestNewFitFindsSlopeAndExponent(t *testing.T) {
 	var linear, power []Point
 	for _, size := range []float64{1, 10, 100, 1000, 10_000} {
 		linear = append(linear, Point{size, 7 + 3*size})
@@ -70,7 +70,7 @@
 	options.Experiments = []string{"slopes", "quota"}
 	report, err := Run(ctx, options, Progress{})
 	if err == nil || report == nil || report.CutShort == "" {
-		t.Fatalf("report %+v, error %v", report, err)
+		t.Fatalf("report %+v, error %v; want both, and a cause in CutShort", report, err)
 	}
 	var table bytes.Buffer
 	if err := report.WriteTable(&table); err != nil || !strings.HasPrefix(table.String(), "CUT SHORT: slopes") {
@@ -98,7 +98,7 @@
 // for a list must not grow faster than its length. Allocations are counted, not timed, so that the result is the same
 // on every machine.
 func TestAllocationsDoNotGrowWithBackends(t *testing.T) {
-	const small, large = 500, 5000
+	const fewBackends, manyBackends = 500, 5000
 	type allocations struct{ listBytes, requestObjects float64 }
 	measure := func(backends int) allocations {
 		size := Size{Backends: backends, Customers: 100, Classes: 3, Gateways: 300}
@@ -120,13 +120,13 @@
 		})
 		return allocations{float64(after.TotalAlloc - before.TotalAlloc), requests}
 	}
-	few, many := measure(small), measure(large)
-	if ratio := many.listBytes / few.listBytes; ratio > 1.5*large/small {
-		t.Errorf("a list of %d backends allocates %.1f times the bytes of one of %d", large, ratio, small)
+	withFew, withMany := measure(fewBackends), measure(manyBackends)
+	if ratio := withMany.listBytes / withFew.listBytes; ratio > 1.5*manyBackends/fewBackends {
+		t.Errorf("a list of %d backends allocates %.1f times the bytes of one of %d", manyBackends, ratio, fewBackends)
 	}
-	if many.requestObjects > few.requestObjects+2 {
-		t.Errorf("a request allocates %v objects with %d backends, %v with %d", many.requestObjects, large,
-			few.requestObjects, small)
+	if withMany.requestObjects > withFew.requestObjects+2 {
+		t.Errorf("a request allocates %v objects with %d backends, %v with %d", withMany.requestObjects, manyBackends,
+			withFew.requestObjects, fewBackends)
 	}
 }
 
@@ -158,16 +158,16 @@
 	result, err := RunSums(t.Context(), 60, 40, 1, Progress{})
 	if err != nil || result.MaxColdLoad > 1 || result.MaxColdLoad == 0 || result.RestartedGateways == 0 ||
 		result.Requests < 5000 {
-		t.Errorf("result %+v, error %v", result, err)
+		t.Errorf("result %+v, error %v; want MaxColdLoad in (0, 1], restarts, and 5000 requests", result, err)
 	}
 }
 
 // Real gateways on real sockets receive a change, also if all watches break at that moment. A real gateway applies a
-// whole list and serves requests with it.
+// full list and serves requests with it.
 func TestRealGatewayAppliesListAndChanges(t *testing.T) {
 	results, err := RunWatches(t.Context(), 10, Progress{})
 	if err != nil || len(results) != 2 {
-		t.Fatal(results, err)
+		t.Fatal("want two results of watches: ", results, err)
 	}
 	for _, result := range results {
 		if result.NotifiedGateways != 10 {
@@ -188,7 +188,7 @@
 	var result SocketResult
 	gateway, err := result.measureListApply(size, agent)
 	if err != nil || !result.ListApplied {
-		t.Fatal(result, err)
+		t.Fatal("the list was not applied: ", result, err)
 	}
 	client := newLoadClient(gateway.address)
 	client.sendSteadily(t.Context(), 50, 200*time.Millisecond)
--- a/internal/scalelab/single.go
+++ b/internal/scalelab/single.go
@@ -9,13 +9,13 @@
 type Cost struct {
 	Size               Size    `json:"size"`
 	Seed               uint64  `json:"seed"`
-	StateBytes         float64 `json:"state_bytes"`       // live heap with the list and all customers
-	FullListMicros     float64 `json:"full_list_us"`      // applying the first whole list
+	StateBytes         float64 `json:"state_bytes"`       // live heap of the module with list and customers
+	FullListMicros     float64 `json:"full_list_us"`      // applying the first full list
 	RequestMicros      float64 `json:"request_us"`        // one request and its outcome
 	RequestObjects     float64 `json:"request_objects"`   // heap objects allocated per request and outcome
 	ChangeMicros       float64 `json:"change_us"`         // applying a list change of one entry
 	TickMicros         float64 `json:"tick_us"`           // the tick once per second
-	FullListBytes      float64 `json:"full_list_bytes"`   // length of the whole list on the wire
+	FullListBytes      float64 `json:"full_list_bytes"`   // length of the full list on the wire
 	ChangeBytes        float64 `json:"change_bytes"`      // length of a change of one entry on the wire
 	SettingsBytes      float64 `json:"settings_bytes"`    // length of the classes and plans in the configuration file
 	BackendsInUse      float64 `json:"backends_in_use"`   // distinct backends sent to within idleConnectionTimeout
@@ -27,7 +27,7 @@
 
 	ColdRequestMicros   float64 `json:"cold_request_us"`   // one request while coldShare of the backends are cold
 	SettingsMicros      float64 `json:"settings_us"`       // loading the configuration file
-	ProgramListMicros   float64 `json:"program_list_us"`   // applying the whole list in the whole program
+	ProgramListMicros   float64 `json:"program_list_us"`   // applying the full list in the whole program
 	ProgramChangeMicros float64 `json:"program_change_us"` // applying a list change of one entry in the whole program
 	ProgramStateBytes   float64 `json:"program_state"`     // live heap of the whole program with the list
 }
@@ -36,7 +36,7 @@
 	attemptTime           = 90 * time.Millisecond // duration of every attempt
 	measuredSeconds       = 10                    // simulated seconds of requests at the target's rate
 	measuredChanges       = 2000                  // list changes of one entry
-	idleConnectionTimeout = 9 * time.Second       // of the real gateway: 0.6 of the setting conn_idle_us
+	idleConnectionTimeout = 9 * time.Second       // of the real gateway: 0.6 of conn_idle_us, 15 s, in encodeSettings
 	firstRequestsWithin   = 40 * time.Second      // for all first requests; a gateway drops idle customers only later
 	reportedUse           = 10.0                  // meter reading of each customer, percent of its rate
 	coldShare             = 0.01                  // share of the backends that are cold at once; at least one is
@@ -51,13 +51,14 @@
 	gateway      *HollowGateway
 	inFlight     []Attempt       // oldest first
 	sentAt       []time.Duration // of the attempts in flight
-	rejected     int             // requests
+	rejected     int             // rejected or failed requests
 	sentAttempts int
-	lastSentAt   map[BackendID]time.Duration
+	lastSentAt   map[BackendID]time.Duration // time of the last attempt at a backend
 	lastID       RequestID
 	spread       int // number of gateways that each customer uses
 }
 
+// Send implements Host. It records an attempt, which advanceTo answers when it is due.
 func (s *singleHost) Send(_ *HollowGateway, attempt Attempt) {
 	s.inFlight = append(s.inFlight, attempt)
 	s.sentAt = append(s.sentAt, s.now)
@@ -65,10 +66,11 @@
 	s.lastSentAt[attempt.Backend] = s.now
 }
 
+// Reject implements Host. It counts a rejected or failed request.
 func (s *singleHost) Reject(*HollowGateway, Request) { s.rejected++ }
 
-// SetTimer does nothing: the measurements trigger the ticks themselves, and no request waits until its client times
-// out.
+// SetTimer implements Host. It does nothing: the measurements trigger the ticks themselves, and no request waits
+// until its client times out.
 func (s *singleHost) SetTimer(*HollowGateway, time.Duration, uint64) {}
 
 // submitRequest sends a request of the customer and class to the gateway.
@@ -94,11 +96,11 @@
 	if err := size.Validate(); err != nil {
 		return Cost{}, err
 	}
-	random := rand.New(rand.NewPCG(seed, 1))
+	random := rand.New(rand.NewPCG(seed, singleStream))
 	backends, settings := newBackends(size.Backends), newSettings(size)
 	host := &singleHost{now: simulationStart, spread: size.Gateways,
 		lastSentAt: make(map[BackendID]time.Duration, size.Backends)}
-	before := liveHeapBytes()
+	heapBefore := liveHeapBytes()
 	hollow, err := NewHollowGateway(0, settings, seed, simulationStart, host)
 	if err != nil {
 		return Cost{}, err
@@ -107,7 +109,7 @@
 	cost := Cost{Size: size, Seed: seed}
 	cost.FullListMicros = processorMicros(func() { hollow.ApplyList(simulationStart, backends) }, 1)
 	cost.FirstRequestMicros = host.sendFirstRequests(size, random)
-	cost.StateBytes = float64(liveHeapBytes()) - float64(before)
+	cost.StateBytes = float64(liveHeapBytes()) - float64(heapBefore)
 	host.measureTraffic(&cost, random)
 	host.measureChanges(&cost, backends, random)
 	host.measureColdBackends(&cost, backends, random)
@@ -139,20 +141,20 @@
 // measureTraffic simulates measuredSeconds of requests at the target's rate and measures requests and ticks separately.
 func (s *singleHost) measureTraffic(cost *Cost, random *rand.Rand) {
 	size := cost.Size
-	requests, ticks, objects := 0.0, 0.0, uint64(0)
+	requestMicros, tickMicros, objects := 0.0, 0.0, uint64(0)
 	s.rejected = 0
 	for range measuredSeconds {
-		allocated := allocatedObjects()
-		requests += processorMicros(func() {
+		objectsBefore := allocatedObjects()
+		requestMicros += processorMicros(func() {
 			for range TargetRequestRate {
 				s.advanceTo(s.now + requestInterval)
 				s.submitRequest(random.IntN(size.Customers), random.IntN(size.Classes))
 			}
 		}, TargetRequestRate)
-		objects += allocatedObjects() - allocated
-		ticks += processorMicros(func() { s.gateway.HandleTimer(s.now, 0) }, 1)
+		objects += allocatedObjects() - objectsBefore
+		tickMicros += processorMicros(func() { s.gateway.HandleTimer(s.now, 0) }, 1)
 	}
-	cost.RequestMicros, cost.TickMicros = requests/measuredSeconds, ticks/measuredSeconds
+	cost.RequestMicros, cost.TickMicros = requestMicros/measuredSeconds, tickMicros/measuredSeconds
 	cost.MeasuredRequests, cost.MeasuredSeconds = measuredSeconds*TargetRequestRate, measuredSeconds
 	cost.RequestObjects = float64(objects) / float64(cost.MeasuredRequests)
 	cost.RejectedRequests = s.rejected
--- a/internal/scalelab/sockets.go
+++ b/internal/scalelab/sockets.go
@@ -32,13 +32,13 @@
 }
 
 const (
-	standInServers     = 8 // that serve all listed backends
-	listTimeout        = 10 * time.Second
-	loadRounds         = 5 // of steady requests
+	standInServers     = 8                // that serve all listed backends
+	listTimeout        = 10 * time.Second // for a new gateway to apply the list
+	loadRounds         = 5                // of steady requests
 	burstCount         = 5
-	burstPause         = time.Second // between bursts
-	warmUpTime         = time.Second
-	idleTime           = 3 * time.Second
+	burstPause         = time.Second          // between bursts
+	loadWarmUpTime     = time.Second          // of requests that are not measured
+	idleTime           = 3 * time.Second      // for the measurement without requests
 	heapSampleInterval = 2 * time.Millisecond // while a list is applied
 )
 
@@ -46,7 +46,7 @@
 type realGateway struct {
 	address      string
 	loop         *frontdoor.Loop
-	appliedLists chan int // lengths of the whole lists that were applied
+	appliedLists chan int // lengths of the full lists that were applied
 	stop         context.CancelFunc
 	runResult    chan error
 }
@@ -103,7 +103,7 @@
 		return result, err
 	}
 	defer servers.Stop()
-	agent, hosts, err := startListingAgent(listed, servers.Addresses)
+	agent, endpoints, err := startListingAgent(listed, servers.Addresses)
 	if err != nil {
 		return result, err
 	}
@@ -118,9 +118,9 @@
 		return result, err
 	}
 	if !result.ListApplied { // apply it directly, so that the latency can still be measured
-		gateway.loop.Update(frontdoor.EndpointList{Version: 1, Full: true, Endpoints: hosts})
+		gateway.loop.Update(frontdoor.EndpointList{Version: 1, Full: true, Endpoints: endpoints})
 	}
-	runtime.KeepAlive(hosts)
+	runtime.KeepAlive(endpoints)
 	result.IdleCPU = measureIdleShare(ctx)
 	progress.Show("sockets: %d listed, requests through the gateway", listed)
 	result.Steady, result.Burst, steadyCPU = measureLoad(ctx, newLoadClient(gateway.address), duration)
@@ -133,18 +133,18 @@
 
 // startListingAgent starts an agent that lists backends at the addresses in turn.
 func startListingAgent(listed int, addresses []string) (*Agent, []frontdoor.Endpoint, error) {
-	hosts := make([]frontdoor.Endpoint, 0, listed)
+	endpoints := make([]frontdoor.Endpoint, 0, listed)
 	for i, backend := range newBackends(listed) {
-		hosts = append(hosts, toEndpoint(backend, addresses[i%len(addresses)]))
+		endpoints = append(endpoints, toEndpoint(backend, addresses[i%len(addresses)]))
 	}
-	agent, err := StartAgent(hosts)
-	return agent, hosts, err
+	agent, err := StartAgent(endpoints)
+	return agent, endpoints, err
 }
 
 // measureListApply starts a gateway and waits until it has applied the list, for listTimeout at most. Meanwhile it
 // samples the heap, so that the recorded peak is a lower bound.
 func (r *SocketResult) measureListApply(size Size, agent *Agent) (*realGateway, error) {
-	before := liveHeapBytes()
+	heapBefore := liveHeapBytes()
 	var peak atomic.Uint64
 	sampling, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -167,8 +167,8 @@
 	case <-time.After(listTimeout):
 	}
 	stop()
-	r.ListPeakMegabytes = max(0, float64(peak.Load())-float64(before)) / (1 << 20)
-	r.ListLiveMegabytes = (float64(liveHeapBytes()) - float64(before)) / (1 << 20)
+	r.ListPeakMegabytes = max(0, float64(peak.Load())-float64(heapBefore)) / (1 << 20)
+	r.ListLiveMegabytes = (float64(liveHeapBytes()) - float64(heapBefore)) / (1 << 20)
 	return gateway, nil
 }
 
@@ -179,7 +179,7 @@
 func measureLoad(ctx context.Context, client *loadClient, duration time.Duration) (
 	steady, burst Latencies, cpu float64) {
 	defer client.transport.CloseIdleConnections()
-	client.sendSteadily(ctx, TargetRequestRate, warmUpTime)
+	client.sendSteadily(ctx, TargetRequestRate, loadWarmUpTime)
 	client.takeResults()
 	processorBefore := processorTime()
 	rounds := make([]Latencies, loadRounds)
--- a/internal/scalelab/sums.go
+++ b/internal/scalelab/sums.go
@@ -7,14 +7,14 @@
 )
 
 // SumsResult holds the totals of a whole fleet in the sums experiment: in a steady phase, and after a share of the
-// backends was replaced by new processes. A MaxColdLoad above 1 means that a cold backend was overloaded.
+// backends was replaced by new processes. MaxColdLoad must not exceed 1: above it, a cold backend was overloaded.
 type SumsResult struct {
 	Gateways           int     `json:"gateways"`
 	Backends           int     `json:"backends"`
 	RequestRate        float64 `json:"request_rate"` // of one gateway, per second
 	Requests           int     `json:"requests"`
 	Rejected           int     `json:"rejected"`
-	AppliedLists       int     `json:"lists_taken"`         // whole lists, over all gateways
+	AppliedLists       int     `json:"lists_taken"`         // full lists, over all gateways
 	AppliedChanges     int     `json:"changes_taken"`       // changed entries, over all gateways
 	MeanConnections    float64 `json:"connections_mean"`    // gateways that sent to a backend in the steady phase
 	MaxConnections     int     `json:"connections_most"`    // of any backend
@@ -28,18 +28,18 @@
 	MemoryMegabytes    float64 `json:"memory_mb"`  // live heap of all gateways at the start
 	BytesPerGateway    float64 `json:"bytes_of_gateway"`
 	ProcessorTime      string  `json:"processor_time"`
-	BackendCapacity    float64 `json:"capacity_of_backend"` // attempts per second of a warm backend
+	BackendCapacity    float64 `json:"capacity_of_backend"` // attempts per second of a warm backend, assumed
 	SimulatedTime      string  `json:"simulated_time"`
 	SteadySeconds      float64 `json:"measured_even_seconds"` // length of the steady phase
 }
 
 const (
-	sumsRequestRate    = 10.0 // per second and gateway; one machine cannot simulate the target's 282
-	sumsSteadyTime     = 8 * time.Second
+	sumsRequestRate    = 10.0            // per second and gateway; one machine cannot simulate the target's 282
+	sumsSteadyTime     = 8 * time.Second // below idleConnectionTimeout, so that no connection of this phase has expired
 	sumsColdTime       = 6 * time.Second // after the replacement of backends
 	replacedShare      = 0.1             // of the backends
 	restartedShare     = 0.7             // of the gateways, at the same time
-	backendUtilization = 0.83            // mean load of a backend over its capacity
+	backendUtilization = 0.83            // mean load of a backend over its assumed capacity
 )
 
 // RunSums simulates a whole fleet: a steady phase of sumsSteadyTime, then the replacement of some backends and the
@@ -84,8 +84,8 @@
 	return result, ctx.Err()
 }
 
-// maxListEntries is the highest number of list entries over all gateways of a run. An entry takes about 215 bytes,
-// which keeps a run under 8 GB.
+// maxListEntries is the highest number of list entries over all gateways of a run. An entry takes about 215 bytes
+// of heap, so a run stays under 8 GB.
 const maxListEntries = 20_000_000
 
 // sumsSimulation generates the requests of the sums experiment and records what the gateways send.
@@ -94,11 +94,11 @@
 	list               []BackendInfo
 	requests, rejected int
 	sentPairs          map[[2]uint32]struct{} // gateway and backend, steady phase
-	coldSendTimes      [][]time.Duration      // after the replacement, by backend ID
+	coldSendTimes      [][]time.Duration      // by backend ID; times of the attempts after the replacement
 	replacedAt         time.Duration          // zero in the steady phase
 }
 
-// newSumsSimulation returns a simulation that receives the callbacks of the fleet.
+// newSumsSimulation returns a simulation and registers its callbacks with the fleet.
 func newSumsSimulation(fleet *Fleet, list []BackendInfo) *sumsSimulation {
 	simulation := &sumsSimulation{fleet: fleet, list: list, sentPairs: map[[2]uint32]struct{}{},
 		coldSendTimes: make([][]time.Duration, len(list)+1)}
@@ -158,8 +158,8 @@
 	return nil
 }
 
-// computeMaxColdLoad finds the highest number of sends to a replaced backend within FallFor, relative to the number
-// that overloads a backend of its age.
+// computeMaxColdLoad finds the highest number of sends to a replaced backend within the settings' OverloadTime,
+// relative to the number that overloads a backend of its age.
 func (s *sumsSimulation) computeMaxColdLoad(result *SumsResult) {
 	settings := s.fleet.settings
 	for id := 1; id <= result.ReplacedBackends; id++ {
@@ -169,8 +169,9 @@
 				windowStart++
 			}
 			age := (sendTimes[windowStart] - s.replacedAt).Seconds()
-			warmth := settings.ColdCapacity + (1-settings.ColdCapacity)*age/settings.WarmUpTime.Seconds()
-			overloadLimit := settings.OverloadMultiple * warmth * result.BackendCapacity * settings.OverloadTime.Seconds()
+			capacityShare := settings.ColdCapacity + (1-settings.ColdCapacity)*age/settings.WarmUpTime.Seconds()
+			overloadLimit := settings.OverloadMultiple * capacityShare * result.BackendCapacity *
+				settings.OverloadTime.Seconds()
 			result.MaxColdLoad = max(result.MaxColdLoad, float64(i-windowStart+1)/overloadLimit)
 		}
 	}
--- a/internal/scalelab/watches.go
+++ b/internal/scalelab/watches.go
@@ -12,8 +12,8 @@
 	"herontiller/internal/frontdoor"
 )
 
-// WatchResult holds the time until a change has reached many gateways that run the real discovery code, from the
-// moment of the change.
+// WatchResult holds the time from the publication of a change until many gateways, which run the real discovery code,
+// have received it.
 type WatchResult struct {
 	Gateways            int     `json:"gateways"`
 	Case                string  `json:"case"`
@@ -26,8 +26,8 @@
 
 const (
 	watchedBackends = 40
-	watchTimeout    = 20 * time.Second
-	maxWatches      = 8000 // each watch uses two file descriptors
+	watchTimeout    = 20 * time.Second // for all gateways to receive a list or a change
+	maxWatches      = 8000             // each watch uses two file descriptors
 )
 
 // RunWatches runs the real discovery code of many gateways against one stand-in agent, on real sockets and in real
@@ -37,11 +37,11 @@
 		return nil, fmt.Errorf("%d watches: must be between 1 and %d", gateways, maxWatches)
 	}
 	backends := newBackends(watchedBackends)
-	hosts := make([]frontdoor.Endpoint, len(backends))
+	endpoints := make([]frontdoor.Endpoint, len(backends))
 	for i, backend := range backends {
-		hosts[i] = toEndpoint(backend, backendAddress(backend.ID))
+		endpoints[i] = toEndpoint(backend, backendAddress(backend.ID))
 	}
-	agent, err := StartAgent(hosts)
+	agent, err := StartAgent(endpoints)
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 	}
 	progress.Show("watches: starting %d gateways", gateways)
 	if !waitFor(ctx, func() bool { return int(started.Load()) >= gateways && agent.WatchCount() >= gateways }) {
-		return nil, errors.New("not all gateways received the list in time")
+		return nil, errors.New("not all gateways received the full list and opened a watch in time")
 	}
 	var results []WatchResult
 	for _, scenario := range []struct {
@@ -78,7 +78,7 @@
 		if scenario.closeWatches {
 			agent.CloseWatches()
 		}
-		if err := agent.PublishChange(hosts[0]); err != nil {
+		if err := agent.PublishChange(endpoints[0]); err != nil {
 			return results, err
 		}
 		result := collectNotifications(ctx, notified, gateways, begin)
--- a/internal/scalelab/wire.go
+++ b/internal/scalelab/wire.go
@@ -10,9 +10,9 @@
 
 // toEndpoint converts a backend to the wire format of discovery.
 func toEndpoint(backend BackendInfo, address string) frontdoor.Endpoint {
-	health := [...]string{"Ready", "Terminating", "Gone"}[backend.State]
+	state := [...]string{"Ready", "Terminating", "Gone"}[backend.State]
 	return frontdoor.Endpoint{Host: fmt.Sprintf("s-%08x", uint32(backend.ID)), Address: address, Zone: backend.Zone,
-		Kind: backend.MachineType, Cell: backend.Cell, State: health, Weight: backend.Weight,
+		Kind: backend.MachineType, Cell: backend.Cell, State: state, Weight: backend.Weight,
 		StartedMS: backend.Started.Milliseconds()}
 }
 
@@ -21,10 +21,10 @@
 	return fmt.Sprintf("10.%d.%d.%d:8443", byte(id>>16), byte(id>>8), byte(id))
 }
 
-// encodedListBytes returns the length of a whole list or a list of changes in the wire format of discovery, with its
+// encodedListBytes returns the length of a full list or a list of changes in the wire format of discovery, with its
 // newline.
-func encodedListBytes(sequence int64, whole bool, backends []BackendInfo) int {
-	list := frontdoor.EndpointList{Version: sequence, Full: whole, Endpoints: make([]frontdoor.Endpoint, len(backends))}
+func encodedListBytes(version int64, full bool, backends []BackendInfo) int {
+	list := frontdoor.EndpointList{Version: version, Full: full, Endpoints: make([]frontdoor.Endpoint, len(backends))}
 	for i, backend := range backends {
 		list.Endpoints[i] = toEndpoint(backend, backendAddress(backend.ID))
 	}
@@ -38,7 +38,7 @@
 // emptyListBytes is the encoded length of a list of changes without entries.
 var emptyListBytes = encodedListBytes(1, false, nil)
 
-// encodedEntryBytes returns the encoded length of one entry of a list, with its comma.
+// encodedEntryBytes returns the encoded length in bytes of one entry of a list, with its comma.
 func encodedEntryBytes(backend BackendInfo) int {
 	return encodedListBytes(1, false, []BackendInfo{backend}) - emptyListBytes + 1
 }
