--- a/cmd/herontiller/limits_test.go
+++ b/cmd/herontiller/limits_test.go
@@ -69,8 +69,8 @@
 	return listener.Addr().String()
 }
 
-// An instance must be ready within 10 s, the operators' limit, even if discovery is down and the configuration file is
-// as long as the specification allows: a fleet of 1,024 instances and a list of 1,024 backends, indented.
+// A gateway must be ready within 10 s, the operators' limit, even if discovery is down and the configuration file is
+// as long as the specification allows: a fleet of 1,024 gateways and a list of 1,024 backends, indented.
 func TestReadyWithin10sWithMaxListsAndNoDiscovery(t *testing.T) {
 	var configJSON map[string]any
 	if err := json.Unmarshal([]byte(fmt.Sprintf(configFormat, "127.0.0.1:0", silentAddr(t))), &configJSON); err != nil {
--- a/cmd/herontiller/main.go
+++ b/cmd/herontiller/main.go
@@ -1,6 +1,6 @@
-// Command herontiller runs one gateway instance over HTTP. It reads its configuration from the file that NODE_CONFIG
-// names and serves until SIGTERM or SIGINT. On SIGHUP it reads the file again and watches the discovery service that
-// the file names.
+// Command herontiller runs one gateway of the fleet over HTTP. It reads its configuration from the file that the
+// environment variable NODE_CONFIG names and serves until SIGTERM or SIGINT. On SIGHUP it reads the file again and
+// watches the discovery service that the file names.
 package main
 
 import (
@@ -37,7 +37,7 @@
 		return err
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(config.Limits.Cores))))
-	// The remaining quarter is for stacks, sockets and the program itself.
+	// The limit is three quarters of the memory; the rest is for stacks, sockets and the program itself.
 	debug.SetMemoryLimit(config.Limits.MemoryMB << 20 / 4 * 3)
 	backends := frontdoor.NewBackends(config)
 	loop, err := frontdoor.NewLoop(config, backends)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -25,7 +25,7 @@
 // messages, messages out of order and an input that ends inside a batch. These errors contain the line number.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, readBufferSize)
-	host := adapter{out: out, instances: map[int]*gateway.Gateway{}}
+	simAdapter := adapter{out: out, instances: map[int]*gateway.Gateway{}}
 	for lineNumber := 1; ; lineNumber++ {
 		line, err := reader.ReadBytes('\n')
 		if err != nil && err != io.EOF {
@@ -34,7 +34,7 @@
 		line = bytes.TrimSpace(line)
 		if len(line) == 0 {
 			if err == io.EOF {
-				return host.checkInputEnd(lineNumber)
+				return simAdapter.checkInputEnd(lineNumber)
 			}
 			continue
 		}
@@ -42,7 +42,7 @@
 		if err != nil {
 			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
-		if err := host.handle(lineNumber, message); err != nil {
+		if err := simAdapter.handle(lineNumber, message); err != nil {
 			return err
 		}
 	}
--- a/cmd/standin/environment.go
+++ b/cmd/standin/environment.go
@@ -52,8 +52,8 @@
 	hosts := make([]frontdoor.Endpoint, len(addresses))
 	for i, address := range addresses {
 		hosts[i] = frontdoor.Endpoint{Host: fmt.Sprintf("backend-%d", i+1), Address: address, Zone: "zone-a",
-			Kind: "standin",
-			Cell: i, State: "Ready", Weight: 1}
+			MachineType: "standin",
+			Cell:        i, State: "Ready", Weight: 1}
 	}
 	return hosts
 }
--- a/internal/frontdoor/attempts_test.go
+++ b/internal/frontdoor/attempts_test.go
@@ -142,7 +142,7 @@
 				case "between attempts":
 					close(fail)
 					if nextEvent[gateway.Outcome](t, handler).Result != gateway.AnsweredError {
-						t.Error("first attempt: got another result, want AnsweredErr")
+						t.Error("first attempt: got another result, want AnsweredError")
 					}
 				}
 				proceed <- true
@@ -166,9 +166,9 @@
 	}
 }
 
-// An attempt must not be sent after the time limit of its Send action, even if connecting takes long: when a keyed
+// An attempt must not be sent after StartWithin of its Send action, even if connecting takes long: when a keyed
 // request is retried too late, the backends no longer remember the first attempt and can't detect the duplicate.
-func TestAttemptIsNotSentAfterWithin(t *testing.T) {
+func TestAttemptIsNotSentAfterStartWithin(t *testing.T) {
 	received := make(chan int, 1)
 	handler := newScriptedHandler(func(event gateway.Event) []gateway.Action {
 		if request, ok := event.(gateway.Request); ok {
--- a/internal/frontdoor/backends.go
+++ b/internal/frontdoor/backends.go
@@ -31,6 +31,7 @@
 	responseReadTimeout = 500 * time.Millisecond
 	maxResponseHead     = 16 << 10 // bytes, including preceding 1xx responses
 	maxUsagePercent     = 10_000   // percent of the quota; a higher value is invalid
+	requestHeadEstimate = 512      // bytes for which a request's buffer has room besides the body; it grows if needed
 )
 
 // forwardedRequest is a request as each attempt sends it to a backend: a client's request, or a probe.
@@ -54,14 +55,14 @@
 	contentType []string
 	body        []byte
 	hasUsage    bool
-	usage       float64
-	load        []float64
+	usage       float64   // if hasUsage: the customer's use of its quota, in percent
+	load        []float64 // load figures in the order of the settings; nil if there was no valid load report
 }
 
 // backend is an entry of the list of backends. All fields except id are guarded by Backends.mu.
 type backend struct {
 	id        gateway.BackendID
-	startedMS int64
+	startedMS int64 // Endpoint.StartedMS
 	state     gateway.BackendState
 	endpoint  *endpointPool
 }
@@ -70,7 +71,7 @@
 type Backends struct {
 	pool        *pool
 	loadColumns []string // names of load figures in the header, in the order of the settings
-	requestLoad bool     // probes request load figures, as the settings name some
+	requestLoad bool     // probes request load figures instead of the health, as the settings name some
 	failureLog  rate.Sometimes
 
 	mu     sync.Mutex
@@ -87,8 +88,8 @@
 func NewBackends(config Config) *Backends {
 	dialer := &net.Dialer{Timeout: config.Connections.ConnectTimeout, KeepAlive: -1}
 	b := &Backends{requestLoad: len(config.Settings.LoadColumns) > 0,
-		failureLog: rate.Sometimes{First: 10, Interval: time.Second},
-		pool: newPool(dialer.DialContext, config.Limits.backendConns(),
+		failureLog: rate.Sometimes{First: logBurst, Interval: logInterval},
+		pool: newPool(dialer.DialContext, config.Limits.maxBackendConns(),
 			time.Duration(maxIdleFraction*float64(config.Connections.IdleTimeout))),
 		byHost: map[string]*backend{}, byID: map[gateway.BackendID]*backend{}}
 	for _, name := range config.Settings.LoadColumns {
@@ -101,7 +102,7 @@
 }
 
 // update applies a full list or a list of changes, and returns its entries converted for the gateway.
-func (b *Backends) update(list EndpointList, clk clock) []gateway.BackendInfo {
+func (b *Backends) update(list EndpointList, gatewayClock clock) []gateway.BackendInfo {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	infos := make([]gateway.BackendInfo, 0, len(list.Endpoints))
@@ -129,7 +130,8 @@
 		}
 		current.startedMS, current.state = listed.StartedMS, backendStates[listed.State]
 		infos = append(infos, gateway.BackendInfo{ID: current.id, State: current.state, Zone: listed.Zone,
-			MachineType: listed.Kind, Cell: listed.Cell, Started: clk.unixMilli(listed.StartedMS), Weight: listed.Weight})
+			MachineType: listed.MachineType, Cell: listed.Cell,
+			Started: gatewayClock.unixMilli(listed.StartedMS), Weight: listed.Weight})
 	}
 	if list.Full {
 		for host, current := range b.byHost {
@@ -181,7 +183,7 @@
 		b.logFailure(endpoint, err)
 		return outcome
 	}
-	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) }) // in the past: ends reads
 	reusable, err := b.readResponse(ctx, conn, request, outcome)
 	if stop() && err == nil && reusable {
 		b.pool.put(conn)
@@ -292,7 +294,7 @@
 		req.Body = io.NopCloser(bytes.NewReader(r.body))
 	}
 	var encoded bytes.Buffer
-	encoded.Grow(512 + len(r.body))
+	encoded.Grow(requestHeadEstimate + len(r.body))
 	err := req.Write(&encoded)
 	return encoded.Bytes(), err
 }
--- a/internal/frontdoor/backends_test.go
+++ b/internal/frontdoor/backends_test.go
@@ -55,7 +55,7 @@
 		}
 		time.Sleep(2 * reuseCooldown) // so that the second attempt uses the same connection
 		if outcome := backends.send(ctx, ctx, id, request); outcome.result != gateway.ConnectionBroken {
-			t.Errorf("%s: attempt on a broken connection: got result %v, want Broken", name, outcome.result)
+			t.Errorf("%s: attempt on a broken connection: got result %v, want ConnectionBroken", name, outcome.result)
 		}
 		if n := received.Load(); n != 2 {
 			t.Errorf("%s: the backend got %d requests, want 2", name, n)
@@ -101,8 +101,8 @@
 			conn.(*net.TCPConn).SetLinger(0)
 			conn.Close()
 		}, gateway.ConnectionBroken},
-		// A request with a malformed response may have run. Its result must not be Broken, as the gateway would then
-		// stop using the backend for a while and assume that it has restarted.
+		// A request with a malformed response may have run. Its result must not be ConnectionBroken, as the gateway
+		// would then stop using the backend for a while and assume that it has restarted.
 		"truncated body":  {sendAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), gateway.Unknown},
 		"truncated head":  {sendAndClose("HTTP/1.1 20"), gateway.Unknown},
 		"not HTTP":        {sendAndClose("\x00\x01garbage\r\n\r\n"), gateway.Unknown},
--- a/internal/frontdoor/clients.go
+++ b/internal/frontdoor/clients.go
@@ -23,12 +23,18 @@
 	// smaller.
 	gatewayMargin  = 40 * time.Millisecond
 	responseMargin = 20 * time.Millisecond
-	marginDivisor  = 8 // gatewayMargin is at most the timeout divided by this
+	marginDivisor  = 8 // the gateway's margin is at most the timeout divided by this
 
 	// Timeouts of a request's head and body. On a new connection, headTimeout starts when it is accepted.
 	headTimeout       = 1500 * time.Millisecond
 	bodyTimeout       = time.Second
 	clientIdleTimeout = 15 * time.Second // how long a client's connection may be idle
+	maxRequestHead    = 16 << 10         // bytes
+
+	// The HTTP server's write timeout starts when it has read a request's head, so it includes the time until there is
+	// a response. It is the longest deadline of all classes plus writeMargin, which is the time for writing the
+	// response to a slow client.
+	writeMargin = 10 * time.Second
 
 	// Graceful shutdown: after SIGTERM, new connections are accepted for at least drainMin, then until none has
 	// arrived for drainQuiet, and for at most drainMax. The platform kills the process at the earliest when drainMax
@@ -43,14 +49,19 @@
 	// not ready for clients. It becomes ready after this time even without a list, as a restarted process must be ready
 	// within 6 s.
 	firstListTimeout = 5 * time.Second
+
+	// Of each kind of warning about a request or an attempt, the first logBurst are logged, and then at most one in
+	// each logInterval.
+	logBurst    = 10
+	logInterval = time.Second
 )
 
 // Server serves the clients of a gateway over HTTP.
 type Server struct {
 	loop          *Loop
 	settings      gateway.Settings
-	classes       map[string]gateway.Class
-	plans         map[string]bool
+	classes       map[string]gateway.Class // by name
+	plans         map[string]bool          // the names of the plans
 	started       time.Time
 	maxDeadline   time.Duration // longest deadline of all classes
 	connections   *connTable
@@ -64,10 +75,10 @@
 func NewServer(config Config, loop *Loop) *Server {
 	settings := config.Settings
 	s := &Server{loop: loop, settings: settings, started: time.Now(),
-		connections: newConnTable(config.Limits.clientConns()),
+		connections: newConnTable(config.Limits.maxClientConns()),
 		classes:     map[string]gateway.Class{}, plans: map[string]bool{},
-		badRequestLog: rate.Sometimes{First: 10, Interval: time.Second},
-		timeoutLog:    rate.Sometimes{First: 10, Interval: time.Second}}
+		badRequestLog: rate.Sometimes{First: logBurst, Interval: logInterval},
+		timeoutLog:    rate.Sometimes{First: logBurst, Interval: logInterval}}
 	for _, class := range settings.Classes {
 		s.classes[class.Name] = class
 		s.maxDeadline = max(s.maxDeadline, class.Deadline)
@@ -79,17 +90,17 @@
 }
 
 // Run serves clients on a listener until ctx ends, and then shuts down gracefully: it accepts connections while they
-// still arrive, closes the listener, and returns when no request is in progress. It returns an error if the listener
-// fails.
+// still arrive, closes the listener, and returns when no request is in progress, or at the latest after drainMax and
+// the longest deadline of all classes. It returns an error if the listener fails.
 func (s *Server) Run(ctx context.Context, listener net.Listener) error {
 	httpServer := &http.Server{
 		Handler:           s,
 		ReadHeaderTimeout: headTimeout,
 		// ReadTimeout is not set: it would also apply while a request waits for its response, and a read that times
 		// out then would look as if the client had disconnected. bodyTimeout applies to bodies.
-		WriteTimeout:   s.maxDeadline + 10*time.Second,
+		WriteTimeout:   s.maxDeadline + writeMargin,
 		IdleTimeout:    clientIdleTimeout,
-		MaxHeaderBytes: 16 << 10,
+		MaxHeaderBytes: maxRequestHead,
 		ErrorLog:       slog.NewLogLogger(slog.Default().Handler(), slog.LevelWarn),
 		ConnState: func(conn net.Conn, state http.ConnState) {
 			if state == http.StateNew {
@@ -165,7 +176,7 @@
 		parsed.forwarded.body, err = readBody(w, r, parsed.forwarded.method)
 	}
 	if killTime := s.killTime.Load(); killTime != nil {
-		parsed.timeout = min(parsed.timeout, killTime.Sub(arrived)) // late requests must be answered by then, too
+		parsed.timeout = min(parsed.timeout, killTime.Sub(arrived)) // a response after that would be lost
 	}
 	if err == nil {
 		var response finalResponse
--- a/internal/frontdoor/config.go
+++ b/internal/frontdoor/config.go
@@ -21,31 +21,36 @@
 
 // Limits are the resources that this gateway may use.
 type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int64   `json:"memory_mb"`
-	Sockets  int     `json:"sockets"` // file descriptors
+	Cores    float64 `json:"cores"`     // CPU cores; may be a fraction
+	MemoryMB int64   `json:"memory_mb"` // units of 1 MiB
+	Sockets  int     `json:"sockets"`   // file descriptors
 }
 
-// clientConns returns how many connections of clients may be open. Concurrent requests need at most a third of the file
-// descriptors; the rest is for the idle connections of clients that send requests only occasionally.
-func (l Limits) clientConns() int { return max(1, l.Sockets*5/12) }
+// Clients and backends may each use 5/12 of the file descriptors. The remaining sixth is for the listener, discovery
+// and files.
 
-// backendConns returns how many connections to backends may be open, including idle ones.
-func (l Limits) backendConns() int { return max(1, l.Sockets*5/12) }
+// maxClientConns returns how many connections of clients may be open. Concurrent requests need at most a third of the
+// file descriptors; the rest of the 5/12 is for the idle connections of clients that send requests only occasionally.
+func (l Limits) maxClientConns() int { return max(1, l.Sockets*5/12) }
+
+// maxBackendConns returns how many connections to backends may be open, including idle ones and those being
+// established.
+func (l Limits) maxBackendConns() int { return max(1, l.Sockets*5/12) }
 
 // Config is the configuration of one gateway.
 type Config struct {
 	Name        string
-	Listen      string
-	Discovery   string
-	Seed        uint64
+	Listen      string // address on which clients are served
+	Discovery   string // address of the discovery service or agent
+	Seed        uint64 // of the gateway's random decisions
 	Limits      Limits
-	SavedList   EndpointList // the last list of backends that this gateway had received
+	SavedList   EndpointList // the last list of backends that an earlier process of this gateway received
 	Settings    gateway.Settings
 	Connections wire.ConnectionSettings
 }
 
-// LoadConfig reads and validates the configuration file at path, the value of NODE_CONFIG. Errors include the path.
+// LoadConfig reads and validates the configuration file at path, which the environment variable NODE_CONFIG names.
+// Errors include the path.
 func LoadConfig(path string) (Config, error) {
 	if path == "" {
 		return Config{}, errors.New("the environment variable NODE_CONFIG is not set")
--- a/internal/frontdoor/config_test.go
+++ b/internal/frontdoor/config_test.go
@@ -9,11 +9,12 @@
 
 // The fields of a valid configuration must have the values and units of its file.
 func TestParseConfig(t *testing.T) {
-	c := newTestConfig(t)
-	if c.Seed != 0x8c1f30d27a5be964 || c.SavedList.Version != 41 || c.Connections.IdleTimeout != 15*time.Second ||
-		c.Connections.ConnectTimeout != 250*time.Millisecond || len(c.Settings.Classes) != 2 ||
-		c.Limits.Sockets != 1024 {
-		t.Errorf("got %+v, want the values of testConfig", c)
+	config := newTestConfig(t)
+	if config.Seed != 0x8c1f30d27a5be964 || config.SavedList.Version != 41 ||
+		config.Connections.IdleTimeout != 15*time.Second ||
+		config.Connections.ConnectTimeout != 250*time.Millisecond || len(config.Settings.Classes) != 2 ||
+		config.Limits.Sockets != 1024 {
+		t.Errorf("got %+v, want the values of testConfigJSON", config)
 	}
 }
 
--- a/internal/frontdoor/discovery.go
+++ b/internal/frontdoor/discovery.go
@@ -19,21 +19,21 @@
 
 // EndpointList is a list of backends as discovery sends it: a full list, or the changes since an earlier version.
 type EndpointList struct {
-	Version   int64      `json:"seq"`
-	Full      bool       `json:"whole"`
+	Version   int64      `json:"seq"`   // grows with each change, until discovery restarts
+	Full      bool       `json:"whole"` // a full list; backends missing from it are gone
 	Endpoints []Endpoint `json:"hosts"`
 }
 
 // Endpoint is one backend in an EndpointList.
 type Endpoint struct {
-	Host      string  `json:"host"`
-	Address   string  `json:"dial"`
-	Zone      string  `json:"site"`
-	Kind      string  `json:"class"`
-	Cell      int     `json:"block"`
-	State     string  `json:"health"`
-	Weight    float64 `json:"share"`
-	StartedMS int64   `json:"born_ms"`
+	Host        string  `json:"host"`
+	Address     string  `json:"dial"` // host and port
+	Zone        string  `json:"site"`
+	MachineType string  `json:"class"`
+	Cell        int     `json:"block"`
+	State       string  `json:"health"`  // a key of backendStates
+	Weight      float64 `json:"share"`   // capacity relative to other backends
+	StartedMS   int64   `json:"born_ms"` // when its process started, Unix time in milliseconds; 0: long ago
 }
 
 // backendStates maps the states of an Endpoint to the gateway's.
@@ -87,26 +87,35 @@
 //
 // If the list must be requested, discovery is one service of fixed capacity for the whole fleet. Each request costs it
 // some milliseconds, plus some time for each entry of the response. It queues requests for up to maxQueueWait, and
-// immediately rejects a request that would have to wait longer; measurements found no cost of such rejections. Gateways
-// therefore request immediately and retry soon: this keeps the service busy while any gateway is without its list,
-// which minimises the time until all gateways have one. Only the service's responses show its load. The size of the
-// fleet doesn't predict it, since usually only a few gateways send requests at the same time.
+// immediately rejects a request that would have to wait longer; rejections cost it almost nothing. Gateways therefore
+// request immediately and retry soon: this keeps the service busy while any gateway is without its list, which
+// minimises the time until all gateways have one. Only the service's responses show its load. The size of the fleet
+// doesn't predict it, since usually only a few gateways send requests at the same time.
 //
 // After a failure a gateway backs off with full jitter, and by less the more urgently it needs a list:
-//   - A gateway without a list can't serve anyone. It retries within baseBackoff while the service is overloaded.
+//   - A gateway without a list can't serve any client. It retries within baseBackoff while the service is overloaded.
 //   - A gateway whose list remains valid for some time leaves an overloaded service to the others, and spreads its
 //     retry over that time.
 //   - A gateway whose list is stale sends only to backends confirmed by recent responses, and backs off for longer.
 //
-// A service that is down holds each request for maxQueueWait before rejecting it, which spreads requests enough.
+// A service that is down may hold each request for maxQueueWait before rejecting it, which spreads requests enough.
 // Gateways should retry soon in this case, so each backoff leaves time for the queue within stalenessBound.
 const (
 	baseBackoff           = 200 * time.Millisecond // after the first failure; doubles with each further one
 	maxBackoffWithoutList = 400 * time.Millisecond // for a process that has received no list
-	maxBackoff            = 2 * time.Second        // for one that has; with maxQueueWait well within stalenessBound
+	maxBackoff            = 2 * time.Second        // with a list; plus maxQueueWait still well within stalenessBound
 	maxBackoffOverloaded  = 3 * time.Second        // while the service is overloaded and the list is stale
 	fastRejectionTime     = 500 * time.Millisecond // an overloaded service rejects requests in less time than this
-	failedRequestFactor   = 4                      // the protocol multiplies StaleAfter by this after a failed request
+
+	// After a failed request the protocol considers a list stale only after this multiple of the settings'
+	// ListRequestInterval.
+	failedRequestFactor = 4
+
+	discoveryConnectTimeout = time.Second
+
+	// The first discoveryLogBurst failures are logged, and then at most one in each discoveryLogInterval.
+	discoveryLogBurst    = 3
+	discoveryLogInterval = 5 * time.Second
 
 	agentTimeoutFraction = 1.0 / 2 // response timeout of an agent, as a fraction of DrainGrace
 	agentBackoffFraction = 1.0 / 4 // longest backoff after a failed request to an agent, as a fraction of DrainGrace
@@ -120,7 +129,7 @@
 // after a change of address the full list is requested first. update receives each list, and an empty list of changes
 // for each heartbeat.
 func WatchDiscovery(ctx context.Context, config Config, addresses <-chan string, update func(EndpointList)) {
-	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: time.Second}).DialContext,
+	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: discoveryConnectTimeout}).DialContext,
 		DisableKeepAlives: true, DisableCompression: true}
 	watchDiscoveryOver(ctx, transport, config, addresses, update)
 }
@@ -172,7 +181,7 @@
 
 // keepWatching opens one watch after another until ctx ends.
 func (w *watcher) keepWatching(ctx context.Context) {
-	logLimit := rate.Sometimes{First: 3, Interval: 5 * time.Second}
+	logLimit := rate.Sometimes{First: discoveryLogBurst, Interval: discoveryLogInterval}
 	failures := 0
 	for ctx.Err() == nil {
 		previousConfirmation := w.lastConfirmed
@@ -265,13 +274,13 @@
 	close       func()
 }
 
-// openStream sends a request and returns its response as a stream. The response must begin within firstTimeout and then
-// send data at least once every idleTimeout. The caller must call the stream's close.
+// openStream sends a request and returns its response as a stream. The response must begin within responseTimeout and
+// then send data at least once every idleTimeout. The caller must call the stream's close.
 func openStream(ctx context.Context, transport http.RoundTripper, url string,
-	firstTimeout, idleTimeout time.Duration) (*streamReader, error) {
+	responseTimeout, idleTimeout time.Duration) (*streamReader, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	stream := &streamReader{idleTimeout: idleTimeout,
-		timer: time.AfterFunc(firstTimeout, func() { cancel(errStreamTimeout) })}
+		timer: time.AfterFunc(responseTimeout, func() { cancel(errStreamTimeout) })}
 	res, err := openResponse(ctx, transport, url)
 	if err != nil {
 		stream.timer.Stop()
--- a/internal/frontdoor/discovery_test.go
+++ b/internal/frontdoor/discovery_test.go
@@ -82,12 +82,12 @@
 func TestListsArePassedToGateway(t *testing.T) {
 	handler := newScriptedHandler(nil)
 	backends := NewBackends(newTestConfig(t))
-	clk := clock{time.Now()}
-	loop := newLoop(clk, handler, backends)
+	gatewayClock := clock{time.Now()}
+	loop := newLoop(gatewayClock, handler, backends)
 	endpoint := func(host, address, state string, startedMS int64) Endpoint {
 		return Endpoint{Host: host, Address: address, State: state, StartedMS: startedMS}
 	}
-	hourAgo := clk.start.Add(-time.Hour).UnixMilli()
+	hourAgo := gatewayClock.start.Add(-time.Hour).UnixMilli()
 	loop.Update(EndpointList{Full: true, Endpoints: []Endpoint{endpoint("s-1", "127.0.0.1:7", "Ready", 0),
 		endpoint("", "127.0.0.1:7", "Ready", 0), endpoint("s-3", "127.0.0.1:7", "Unwell", 0),
 		endpoint("s-4", "", "Ready", 0),
@@ -98,7 +98,7 @@
 	}
 	if started := first.Backends[1].Started; started < clockOffset-time.Hour-time.Second ||
 		started > clockOffset-time.Hour+time.Second {
-		t.Errorf("got start time %v, want one hour before the clock's %v", started, clk.now())
+		t.Errorf("got start time %v, want one hour before the clock's %v", started, gatewayClock.now())
 	}
 	if unknown, early := first.Backends[0].Started, first.Backends[2].Started; unknown != 0 || early != 0 {
 		t.Errorf("got start times %v and %v for starts long ago, want 0", unknown, early)
@@ -150,8 +150,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() {
-		cfg := Config{Discovery: firstAddr, SavedList: EndpointList{Version: 800}}
-		WatchDiscovery(ctx, cfg, addresses, func(list EndpointList) { lists <- list })
+		config := Config{Discovery: firstAddr, SavedList: EndpointList{Version: 800}}
+		WatchDiscovery(ctx, config, addresses, func(list EndpointList) { lists <- list })
 		close(ended)
 	}()
 	if got := <-firstRequests; got != "/v1/endpoints?watch=1&from=800" {
@@ -334,7 +334,7 @@
 	for i := range 1024 {
 		list.Endpoints = append(list.Endpoints, Endpoint{Host: fmt.Sprintf("s-%060x", i),
 			Address: fmt.Sprintf("127.0.%d.%d:8443", i/250, i%250), Zone: strings.Repeat("zone", 10),
-			Kind: strings.Repeat("kind", 10), State: "Ready", Weight: 1, StartedMS: 1790000000000})
+			MachineType: strings.Repeat("kind", 10), State: "Ready", Weight: 1, StartedMS: 1790000000000})
 	}
 	text, err := json.MarshalIndent(list, "", strings.Repeat(" ", 16))
 	if err != nil {
--- a/internal/frontdoor/fleet_discovery_test.go
+++ b/internal/frontdoor/fleet_discovery_test.go
@@ -15,9 +15,9 @@
 )
 
 // queueingDiscovery is a discovery service of fixed capacity. It serves one request at a time, queues each for up to
-// maxQueueWait, and immediately rejects requests that would have to wait longer, like the discovery service of the test
-// bench. While it is down it refuses connections or, if holdsWhenDown is set, rejects each request after maxQueueWait,
-// which is what the test bench's service does.
+// maxQueueWait, and immediately rejects requests that would have to wait longer. While it is down it refuses
+// connections or, if holdsWhenDown is set, rejects each request after maxQueueWait. The discovery service of the
+// operators' test bench does the same, with holdsWhenDown.
 type queueingDiscovery struct {
 	serviceTime   time.Duration // per request
 	holdsWhenDown bool
@@ -113,11 +113,11 @@
 	lastConfirmed time.Time // when it last received a list or a heartbeat; zero: not yet
 }
 
-// startWatcher starts the watcher of one gateway in a fleet of 300.
+// startWatcher starts the watcher of one gateway in a fleet of 300, in which lists must be requested.
 func startWatcher(transport http.RoundTripper) *runningWatcher {
-	cfg := Config{Discovery: "discovery", Settings: gateway.Settings{Gateways: 300, DrainGrace: 400 * time.Millisecond,
-		SubscribeToList: true}}
-	cfg.Connections.StalenessBound = 10 * time.Second
+	config := Config{Discovery: "discovery", Settings: gateway.Settings{Gateways: 300,
+		DrainGrace: 400 * time.Millisecond, SubscribeToList: true}}
+	config.Connections.ListRequestInterval = 10 * time.Second
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	w := &runningWatcher{started: time.Now(), addresses: make(chan string)}
@@ -127,7 +127,7 @@
 	}
 	go func() {
 		defer close(ended)
-		watchDiscoveryOver(ctx, transport, cfg, w.addresses, func(EndpointList) {
+		watchDiscoveryOver(ctx, transport, config, w.addresses, func(EndpointList) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			w.lastConfirmed = time.Now()
--- a/internal/frontdoor/fuzz_test.go
+++ b/internal/frontdoor/fuzz_test.go
@@ -27,18 +27,19 @@
 		"first=9223372036854775808,spread=1,units=1", "units=0x1p3, spread=2 ,first=0,new=1"} {
 		f.Add(s)
 	}
-	cfg, err := parseConfig([]byte(testConfigJSON))
+	config, err := parseConfig([]byte(testConfigJSON))
 	if err != nil {
 		f.Fatal(err)
 	}
-	server := NewServer(cfg, nil)
+	server := NewServer(config, nil)
 	f.Fuzz(func(t *testing.T, text string) {
 		var req gateway.Request
 		if server.parseTerms(text, &req) != nil {
 			return
 		}
-		if s := cfg.Settings; !(req.Units > 0) || req.Units > s.MaxRequestUnits || math.IsInf(req.Units, 0) ||
-			req.GatewayCount < 1 || req.GatewayCount > s.Gateways || req.FirstGateway < 0 || req.FirstGateway >= s.Gateways {
+		if s := config.Settings; !(req.Units > 0) || req.Units > s.MaxRequestUnits || math.IsInf(req.Units, 0) ||
+			req.GatewayCount < 1 || req.GatewayCount > s.Gateways ||
+			req.FirstGateway < 0 || req.FirstGateway >= s.Gateways {
 			t.Errorf("%q: got %+v, want an error or values in range", text, req)
 		}
 	})
@@ -49,11 +50,11 @@
 	f.Add("GET /look HTTP/1.1\r\nHost: a\r\nRequest-Id: 9b1f03aa5c7e2d41\r\nRequest-Class: look\r\nX-Tier: basic\r\n" +
 		"X-Api-Key: 00000000b4d65521\r\nRequest-Timeout: 0.480\r\nX-Call-Terms: units=2,spread=1,first=1\r\n\r\n")
 	f.Add("POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: 70000\r\n\r\n")
-	cfg, err := parseConfig([]byte(testConfigJSON))
+	config, err := parseConfig([]byte(testConfigJSON))
 	if err != nil {
 		f.Fatal(err)
 	}
-	server := NewServer(cfg, nil)
+	server := NewServer(config, nil)
 	f.Fuzz(func(t *testing.T, text string) {
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
@@ -85,7 +86,7 @@
 		}()
 		conn := &pooledConn{Conn: gatewayEnd, endpoint: &endpointPool{}}
 		conn.limited.source = gatewayEnd
-		conn.reader = bufio.NewReaderSize(&conn.limited, 2<<10)
+		conn.reader = bufio.NewReaderSize(&conn.limited, responseBufferSize)
 		outcome := &attemptOutcome{result: gateway.NotSent}
 		_, err := backends.readResponse(context.Background(), conn, &forwardedRequest{method: http.MethodGet}, outcome)
 		if err != nil && outcome.result != gateway.NotSent || len(outcome.body) > maxBody ||
@@ -105,8 +106,8 @@
 		if json.Unmarshal(text, &list) != nil {
 			return
 		}
-		cfg := newTestConfig(t)
-		loop, err := NewLoop(cfg, NewBackends(cfg))
+		config := newTestConfig(t)
+		loop, err := NewLoop(config, NewBackends(config))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -124,11 +125,11 @@
 	f.Add([]byte(strings.Replace(testConfigJSON, "20000000", "-1", 1)))
 	f.Add([]byte(strings.Replace(testConfigJSON, `"burst":1000`, `"burst":1e400`, 1)))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		cfg, err := parseConfig(text)
+		config, err := parseConfig(text)
 		if err != nil {
 			return
 		}
-		if _, err := NewLoop(cfg, NewBackends(cfg)); err != nil {
+		if _, err := NewLoop(config, NewBackends(config)); err != nil {
 			t.Errorf("%q: got no error from parseConfig, but error %v from NewLoop, want none", text, err)
 		}
 	})
--- a/internal/frontdoor/lease_test.go
+++ b/internal/frontdoor/lease_test.go
@@ -13,14 +13,14 @@
 // discovery has sent a list. After firstListTimeout it is ready even without one. If lists are pushed, a process is
 // ready immediately.
 func TestReadyAfterFirstList(t *testing.T) {
-	cfg := newTestConfig(t)
-	if !NewServer(cfg, newTestLoop(t, cfg)).ready() {
+	config := newTestConfig(t)
+	if !NewServer(config, newTestLoop(t, config)).ready() {
 		t.Error("got a process that is not ready with pushed lists, want it ready immediately")
 	}
-	cfg.Settings.SubscribeToList = true
-	cfg.SavedList = readyList("127.0.0.1:7")
-	loop := newTestLoop(t, cfg)
-	server := NewServer(cfg, loop)
+	config.Settings.SubscribeToList = true
+	config.SavedList = readyList("127.0.0.1:7")
+	loop := newTestLoop(t, config)
+	server := NewServer(config, loop)
 	if server.ready() {
 		t.Error("got a process that is ready without a list from discovery, want it not ready")
 	}
@@ -53,9 +53,9 @@
 	}
 }
 
-func newTestLoop(t *testing.T, cfg Config) *Loop {
+func newTestLoop(t *testing.T, config Config) *Loop {
 	t.Helper()
-	loop, err := NewLoop(cfg, NewBackends(cfg))
+	loop, err := NewLoop(config, NewBackends(config))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,14 +65,14 @@
 // The lease of a list plus the time for opening a connection must be shorter than stalenessBound: after that time the
 // gateway is expected to know every change that discovery received after it had confirmed the list.
 func TestListLeaseEndsWithinStalenessBound(t *testing.T) {
-	cfg := newTestConfig(t)
-	if lease := listLease(cfg); lease != 0 {
+	config := newTestConfig(t)
+	if lease := listLease(config); lease != 0 {
 		t.Errorf("got a lease of %v for pushed lists, want 0", lease)
 	}
-	cfg.Settings.SubscribeToList = true
+	config.Settings.SubscribeToList = true
 	for _, connectTimeout := range []time.Duration{50 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second} {
-		cfg.Connections.ConnectTimeout = connectTimeout
-		if lease := listLease(cfg); lease+connectTimeout >= stalenessBound || lease < stalenessBound/2 {
+		config.Connections.ConnectTimeout = connectTimeout
+		if lease := listLease(config); lease+connectTimeout >= stalenessBound || lease < stalenessBound/2 {
 			t.Errorf("got lease %v for connect timeout %v, want at least half of stalenessBound, and a sum below it",
 				lease, connectTimeout)
 		}
--- a/internal/frontdoor/lists_test.go
+++ b/internal/frontdoor/lists_test.go
@@ -21,7 +21,7 @@
 	for i := range count {
 		list.Endpoints = append(list.Endpoints, Endpoint{Host: fmt.Sprintf("s-%08x", i),
 			Address: fmt.Sprintf("10.1.%d.%d:8443", i/250, i%250),
-			Zone:    fmt.Sprintf("zone-%d", i%24), Kind: "std-2core", Cell: i, State: "Ready", Weight: 1})
+			Zone:    fmt.Sprintf("zone-%d", i%24), MachineType: "std-2core", Cell: i, State: "Ready", Weight: 1})
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
--- a/internal/frontdoor/loop.go
+++ b/internal/frontdoor/loop.go
@@ -39,12 +39,13 @@
 	outcome    *attemptOutcome // when served: the attempt whose response is returned
 }
 
+// responseKind is the kind of a final response.
 type responseKind uint8
 
 const (
-	served responseKind = iota
-	rejected
-	failed
+	served   responseKind = iota // a backend's successful response
+	rejected                     // by the gateway
+	failed                       // no attempt was successful
 )
 
 // pendingRequest is a request that was passed to the gateway. It stays in Loop.requests until it has its final response
@@ -98,7 +99,8 @@
 // listLease returns how long a list may be used after a service has confirmed it. An attempt that the gateway starts at
 // the end of the lease, on a new connection, must begin before stalenessBound has passed since a change that the
 // service may have received right after its confirmation. The result is 0, which means no limit, for pushed lists: the
-// protocol expects a gateway to know immediately what its agent holds.
+// protocol expects a gateway to know immediately what its agent holds. The lease is never shorter than half of
+// stalenessBound, so that heartbeats renew it in time even if connecting may take very long.
 func listLease(config Config) time.Duration {
 	if !config.Settings.SubscribeToList {
 		return 0
@@ -109,20 +111,21 @@
 // NewLoop returns a Loop with a new gateway that has the saved list of the configuration. Errors are those of
 // gateway.New.
 func NewLoop(config Config, backends *Backends) (*Loop, error) {
-	clk := clock{time.Now()}
+	gatewayClock := clock{time.Now()}
 	settings := config.Settings
 	settings.ListLease = listLease(config)
-	handler, err := gateway.New(settings, config.Seed, clk.now())
+	handler, err := gateway.New(settings, config.Seed, gatewayClock.now())
 	if err != nil {
 		return nil, err
 	}
-	l := newLoop(clk, handler, backends)
+	l := newLoop(gatewayClock, handler, backends)
 	l.update(config.SavedList, gateway.ListSaved)
 	return l, nil
 }
 
-func newLoop(clk clock, handler eventHandler, backends *Backends) *Loop {
-	return &Loop{clock: clk, gateway: handler, backends: backends, requests: map[gateway.RequestID]*pendingRequest{}}
+func newLoop(gatewayClock clock, handler eventHandler, backends *Backends) *Loop {
+	return &Loop{clock: gatewayClock, gateway: handler, backends: backends,
+		requests: map[gateway.RequestID]*pendingRequest{}}
 }
 
 // Update passes a list, or changes to it, from discovery to the gateway.
@@ -268,13 +271,13 @@
 	}
 	pending.attempts = append(pending.attempts, attempt{cancelWrite: cancelWrite, cancel: cancel})
 	pending.attemptsInFlight++
-	sent := l.clock.now()
+	startedAt := l.clock.now()
 	go func() {
 		defer cancel() // ends writeCtx as well, which is derived from ctx
 		outcome := l.backends.send(ctx, writeCtx, action.Backend, pending.forwarded)
 		l.endAttempt(pending, outcome, gateway.Outcome{Request: pending.id, Backend: action.Backend, Attempt: index,
-			Result: outcome.result, Duration: l.clock.now() - sent, HasUsage: outcome.hasUsage, UsagePercent: outcome.usage,
-			Load: outcome.load})
+			Result: outcome.result, Duration: l.clock.now() - startedAt, HasUsage: outcome.hasUsage,
+			UsagePercent: outcome.usage, Load: outcome.load})
 	}()
 }
 
--- a/internal/frontdoor/pace.go
+++ b/internal/frontdoor/pace.go
@@ -9,16 +9,25 @@
 // retryPolicy determines the timeouts of requests to discovery and the backoff between them.
 type retryPolicy struct {
 	sharedService     bool          // all gateways request the list from one service; else each has its own agent
-	staleAfterFailure time.Duration // time from a failed request until the list counts as stale; 0: no limit
-	drainGrace        time.Duration // how long attempts at a draining backend are still allowed
+	staleAfterFailure time.Duration // time from a failed request until the list counts as stale; 0: it never does
+	drainGrace        time.Duration // how long after a backend starts draining attempts at it are still allowed
 }
 
+const (
+	defaultDrainGrace = 500 * time.Millisecond // used if the settings don't state DrainGrace
+
+	// maxBackoffDoublings keeps the backoff from overflowing after many failures: baseBackoff doubled this many times
+	// is above all limits of the backoff.
+	maxBackoffDoublings = 10
+)
+
 // newRetryPolicy returns the policy for a configuration.
 func newRetryPolicy(config Config) retryPolicy {
 	policy := retryPolicy{sharedService: config.Settings.SubscribeToList,
-		staleAfterFailure: failedRequestFactor * config.Connections.StalenessBound, drainGrace: config.Settings.DrainGrace}
-	if policy.drainGrace <= 0 { // the settings don't state it
-		policy.drainGrace = 500 * time.Millisecond
+		staleAfterFailure: failedRequestFactor * config.Connections.ListRequestInterval,
+		drainGrace:        config.Settings.DrainGrace}
+	if policy.drainGrace <= 0 {
+		policy.drainGrace = defaultDrainGrace
 	}
 	return policy
 }
@@ -63,10 +72,10 @@
 	if f.hasList {
 		limit = maxBackoff
 	}
-	return min(baseBackoff<<min(f.consecutive-1, 10), limit)
+	return min(baseBackoff<<min(f.consecutive-1, maxBackoffDoublings), limit)
 }
 
-// idleTimeout returns how long a watch may send nothing.
+// idleTimeout returns how long a watch may send nothing before it is considered dead.
 func (p retryPolicy) idleTimeout() time.Duration {
 	if p.sharedService {
 		return serviceIdleTimeout
--- a/internal/frontdoor/pool.go
+++ b/internal/frontdoor/pool.go
@@ -18,15 +18,18 @@
 // A gateway sends a backend only a few requests per second, so it rarely finds all connections in cooldown.
 const reuseCooldown = 50 * time.Millisecond
 
+// responseBufferSize is the size of the read buffer of each connection, in bytes.
+const responseBufferSize = 2 << 10
+
 var errPoolFull = errors.New("the limit of connections to backends is reached, and none is idle")
 
 // pool limits the total number of connections to all backends and keeps idle ones for reuse. It never returns a
 // connection on which data has arrived while it was idle, as this data would be read as the response to the next
 // request.
 type pool struct {
-	dial    func(ctx context.Context, network, addr string) (net.Conn, error)
-	maxOpen int           // connections
-	maxIdle time.Duration // an idle connection is closed after this time
+	dial        func(ctx context.Context, network, addr string) (net.Conn, error)
+	maxOpen     int           // connections
+	maxIdleTime time.Duration // an idle connection is closed after this time
 
 	mu        sync.Mutex
 	openCount int        // idle, in use or being established
@@ -54,8 +57,8 @@
 }
 
 func newPool(dial func(ctx context.Context, network, addr string) (net.Conn, error), maxOpen int,
-	maxIdle time.Duration) *pool {
-	return &pool{dial: dial, maxOpen: maxOpen, maxIdle: maxIdle, idleConns: list.New()}
+	maxIdleTime time.Duration) *pool {
+	return &pool{dial: dial, maxOpen: maxOpen, maxIdleTime: maxIdleTime, idleConns: list.New()}
 }
 
 // get returns an idle connection to an endpoint. If there is none, or if fresh is set, it returns a new one.
@@ -73,7 +76,7 @@
 	}
 	c = &pooledConn{Conn: conn, endpoint: endpoint}
 	c.limited.source = conn
-	c.reader = bufio.NewReaderSize(&c.limited, 2<<10)
+	c.reader = bufio.NewReaderSize(&c.limited, responseBufferSize)
 	return c, nil
 }
 
@@ -90,7 +93,7 @@
 			continue
 		}
 		p.removeIdle(c)
-		if now.Sub(c.idleSince) < p.maxIdle && peekSocket(c.Conn) == noData {
+		if now.Sub(c.idleSince) < p.maxIdleTime && peekSocket(c.Conn) == noData {
 			return c, nil
 		}
 		p.closeLocked(c)
@@ -120,7 +123,7 @@
 	c.idleElement = p.idleConns.PushBack(c)
 	if !p.sweeping {
 		p.sweeping = true
-		time.AfterFunc(p.maxIdle, p.sweep)
+		time.AfterFunc(p.maxIdleTime, p.sweep)
 	}
 }
 
@@ -149,7 +152,7 @@
 	defer p.mu.Unlock()
 	for p.idleConns.Len() > 0 {
 		c := p.idleConns.Front().Value.(*pooledConn)
-		if remaining := p.maxIdle - time.Since(c.idleSince); remaining > 0 {
+		if remaining := p.maxIdleTime - time.Since(c.idleSince); remaining > 0 {
 			time.AfterFunc(remaining, p.sweep)
 			return
 		}
--- a/internal/frontdoor/responses.go
+++ b/internal/frontdoor/responses.go
@@ -35,6 +35,7 @@
 		return false, err
 	}
 	response, err := http.ReadResponse(conn.reader, &http.Request{Method: request.method})
+	// Skip interim responses, which have a status of 1xx.
 	for err == nil && response.StatusCode < 200 && response.StatusCode != http.StatusSwitchingProtocols {
 		response, err = http.ReadResponse(conn.reader, &http.Request{Method: request.method})
 	}
--- a/internal/scalelab/wire.go
+++ b/internal/scalelab/wire.go
@@ -12,7 +12,7 @@
 func toEndpoint(backend BackendInfo, address string) frontdoor.Endpoint {
 	health := [...]string{"Ready", "Terminating", "Gone"}[backend.State]
 	return frontdoor.Endpoint{Host: fmt.Sprintf("s-%08x", uint32(backend.ID)), Address: address, Zone: backend.Zone,
-		Kind: backend.MachineType, Cell: backend.Cell, State: health, Weight: backend.Weight,
+		MachineType: backend.MachineType, Cell: backend.Cell, State: health, Weight: backend.Weight,
 		StartedMS: backend.Started.Milliseconds()}
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -67,13 +67,13 @@
 
 // listEntry is the JSON form of a backend in a list.
 type listEntry struct {
-	Weight  float64 `json:"power_hint"`
-	State   string  `json:"health"`
-	Zone    string  `json:"az"`
-	Kind    string  `json:"kind"`
-	Cell    int     `json:"cell"`
-	Started int64   `json:"boot_time_us"`
-	Backend *uint32 `json:"backend"`
+	Weight      float64 `json:"power_hint"`
+	State       string  `json:"health"`
+	Zone        string  `json:"az"`
+	MachineType string  `json:"kind"`
+	Cell        int     `json:"cell"`
+	Started     int64   `json:"boot_time_us"`
+	Backend     *uint32 `json:"backend"`
 }
 
 // resultsByCode maps the result codes of the protocol to the constants of package gateway.
@@ -236,8 +236,8 @@
 			return nil, fmt.Errorf("list entry without a backend or with the unknown state %q", entry.State)
 		}
 		list.Backends = append(list.Backends, gateway.BackendInfo{ID: gateway.BackendID(*entry.Backend), State: state,
-			Zone: entry.Zone, MachineType: entry.Kind, Cell: entry.Cell, Started: fromMicroseconds(entry.Started),
-			Weight: entry.Weight})
+			Zone: entry.Zone, MachineType: entry.MachineType, Cell: entry.Cell,
+			Started: fromMicroseconds(entry.Started), Weight: entry.Weight})
 	}
 	return list, nil
 }
