--- a/internal/frontdoor/attempts_test.go
+++ b/internal/frontdoor/attempts_test.go
@@ -166,7 +166,7 @@
 	}
 }
 
-// An attempt must not be sent after StartWithin of its Send action, even if connecting takes long: when a keyed
+// An attempt must not be sent later than StartWithin after its Send action, even if connecting takes long: when a keyed
 // request is retried too late, the backends no longer remember the first attempt and can't detect the duplicate.
 func TestAttemptIsNotSentAfterStartWithin(t *testing.T) {
 	received := make(chan int, 1)
--- a/internal/frontdoor/backends.go
+++ b/internal/frontdoor/backends.go
@@ -62,7 +62,7 @@
 // backend is an entry of the list of backends. All fields except id are guarded by Backends.mu.
 type backend struct {
 	id        gateway.BackendID
-	startedMS int64 // Endpoint.StartedMS
+	startedMS int64 // as in Endpoint
 	state     gateway.BackendState
 	endpoint  *endpointPool
 }
--- a/internal/frontdoor/fleet_discovery_test.go
+++ b/internal/frontdoor/fleet_discovery_test.go
@@ -31,6 +31,7 @@
 
 var errConnectionRefused = errors.New("connection refused")
 
+// newQueueingDiscovery returns a discovery service that is up.
 func newQueueingDiscovery(serviceTime time.Duration) *queueingDiscovery {
 	d := &queueingDiscovery{serviceTime: serviceTime}
 	d.start()
@@ -161,6 +162,7 @@
 	}
 }
 
+// startWatchers starts count watchers that share a transport.
 func startWatchers(transport http.RoundTripper, count int) (fleet []*runningWatcher) {
 	for range count {
 		fleet = append(fleet, startWatcher(transport))
@@ -168,6 +170,7 @@
 	return fleet
 }
 
+// stopWatchers stops watchers and waits until they have ended.
 func stopWatchers(fleet []*runningWatcher) {
 	for _, w := range fleet {
 		w.stop()
--- a/internal/frontdoor/frontdoor_test.go
+++ b/internal/frontdoor/frontdoor_test.go
@@ -195,6 +195,7 @@
 	return actions
 }
 
+// newScriptedHandler returns a handler whose actions are those of actionsFor. If it is nil, there are none.
 func newScriptedHandler(actionsFor func(gateway.Event) []gateway.Action) *scriptedHandler {
 	return &scriptedHandler{received: make(chan gateway.Event, 100), actionsFor: actionsFor}
 }
--- a/internal/frontdoor/lease_test.go
+++ b/internal/frontdoor/lease_test.go
@@ -53,6 +53,7 @@
 	}
 }
 
+// newTestLoop returns a Loop with a new gateway for a configuration.
 func newTestLoop(t *testing.T, config Config) *Loop {
 	t.Helper()
 	loop, err := NewLoop(config, NewBackends(config))
--- a/internal/frontdoor/pool.go
+++ b/internal/frontdoor/pool.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// sweep closes the connections that have been idle for maxIdle, and schedules itself again if others are idle.
+// sweep closes the connections that have been idle for maxIdleTime, and schedules itself again if others are idle.
 func (p *pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -47,8 +47,8 @@
 	ListKind      string          `json:"mode"`
 	Entries       []listEntry     `json:"elements"`
 	RequestID     *string         `json:"txn"`
-	Spread        float64         `json:"spread"`
-	FirstGateway  float64         `json:"first_door"`
+	GatewayCount  float64         `json:"spread"`     // number of gateways that the customer uses
+	FirstGateway  float64         `json:"first_door"` // index of the first of them
 	Plan          string          `json:"terms"`
 	Class         string          `json:"grade"`
 	ClientTimeout int64           `json:"grace_us"`
@@ -205,7 +205,7 @@
 	id, err := parseRequestID(raw)
 	return gateway.Request{ID: id, Customer: gateway.CustomerID(raw.Customer), Class: raw.Class, Plan: raw.Plan,
 		Units: raw.Units, Timeout: fromMicroseconds(raw.ClientTimeout), FirstGateway: int(raw.FirstGateway),
-		GatewayCount: int(raw.Spread)}, err
+		GatewayCount: int(raw.GatewayCount)}, err
 }
 
 // decodeOutcome decodes the outcome of an attempt.
