--- a/cmd/standin/environment.go
+++ b/cmd/standin/environment.go
@@ -52,7 +52,7 @@
 	list := make([]frontdoor.Endpoint, len(addresses))
 	for i, address := range addresses {
 		list[i] = frontdoor.Endpoint{Host: fmt.Sprintf("backend-%d", i+1), Address: address, Zone: "zone-a",
-			Kind: "standin", Cell: i, State: "Ready", Weight: 1}
+			MachineType: "standin", Cell: i, State: "Ready", Weight: 1}
 	}
 	return list
 }
--- a/internal/frontdoor/fleet_discovery_test.go
+++ b/internal/frontdoor/fleet_discovery_test.go
@@ -15,9 +15,9 @@
 )
 
 // queueingDiscovery is a discovery service of fixed capacity. It serves one request at a time, queues each for up to
-// maxQueueWait, and immediately rejects requests that would have to wait longer, like the discovery service of the test
-// bench. While it is down it refuses connections or, if holdsWhenDown is set, rejects each request after maxQueueWait,
-// which is what the test bench's service does.
+// maxQueueWait, and immediately rejects requests that would have to wait longer. While it is down it refuses
+// connections or, if holdsWhenDown is set, rejects each request after maxQueueWait. The discovery service of the
+// operators' test bench does the same, with holdsWhenDown.
 type queueingDiscovery struct {
 	serviceTime   time.Duration // per request
 	holdsWhenDown bool
@@ -31,6 +31,7 @@
 
 var errConnectionRefused = errors.New("connection refused")
 
+// newQueueingDiscovery returns a discovery service that is up.
 func newQueueingDiscovery(serviceTime time.Duration) *queueingDiscovery {
 	d := &queueingDiscovery{serviceTime: serviceTime}
 	d.start()
@@ -113,11 +114,11 @@
 	lastConfirmed time.Time // when it last received a list or a heartbeat; zero: not yet
 }
 
-// startWatcher starts the watcher of one gateway in a fleet of 300.
+// startWatcher starts the watcher of one gateway in a fleet of 300, in which lists must be requested.
 func startWatcher(transport http.RoundTripper) *runningWatcher {
-	cfg := Config{Discovery: "discovery", Settings: gateway.Settings{Gateways: 300, DrainGrace: 400 * time.Millisecond,
-		SubscribeToList: true}}
-	cfg.Connections.StalenessBound = 10 * time.Second
+	config := Config{Discovery: "discovery", Settings: gateway.Settings{Gateways: 300,
+		DrainGrace: 400 * time.Millisecond, SubscribeToList: true}}
+	config.Connections.ListRequestInterval = 10 * time.Second
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	w := &runningWatcher{started: time.Now(), addresses: make(chan string)}
@@ -127,7 +128,7 @@
 	}
 	go func() {
 		defer close(ended)
-		watchDiscoveryOver(ctx, transport, cfg, w.addresses, func(EndpointList) {
+		watchDiscoveryOver(ctx, transport, config, w.addresses, func(EndpointList) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			w.lastConfirmed = time.Now()
@@ -161,6 +162,7 @@
 	}
 }
 
+// startWatchers starts count watchers that share a transport.
 func startWatchers(transport http.RoundTripper, count int) (fleet []*runningWatcher) {
 	for range count {
 		fleet = append(fleet, startWatcher(transport))
@@ -168,6 +170,7 @@
 	return fleet
 }
 
+// stopWatchers stops watchers and waits until they have ended.
 func stopWatchers(fleet []*runningWatcher) {
 	for _, w := range fleet {
 		w.stop()
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -47,8 +47,8 @@
 	ListKind      string          `json:"mode"`
 	Entries       []listEntry     `json:"elements"`
 	RequestID     *string         `json:"txn"`
-	Spread        float64         `json:"spread"`
-	FirstGateway  float64         `json:"first_door"`
+	GatewayCount  float64         `json:"spread"`     // number of gateways that the customer uses
+	FirstGateway  float64         `json:"first_door"` // index of the first of them
 	Plan          string          `json:"terms"`
 	Class         string          `json:"grade"`
 	ClientTimeout int64           `json:"grace_us"`
@@ -67,13 +67,13 @@
 
 // listEntry is the JSON form of a backend in a list.
 type listEntry struct {
-	Weight  float64 `json:"power_hint"`
-	State   string  `json:"health"`
-	Zone    string  `json:"az"`
-	Kind    string  `json:"kind"`
-	Cell    int     `json:"cell"`
-	Started int64   `json:"boot_time_us"`
-	Backend *uint32 `json:"backend"`
+	Weight      float64 `json:"power_hint"`
+	State       string  `json:"health"`
+	Zone        string  `json:"az"`
+	MachineType string  `json:"kind"`
+	Cell        int     `json:"cell"`
+	Started     int64   `json:"boot_time_us"`
+	Backend     *uint32 `json:"backend"`
 }
 
 // resultsByCode maps the result codes of the protocol to the constants of package gateway.
@@ -205,7 +205,7 @@
 	id, err := parseRequestID(raw)
 	return gateway.Request{ID: id, Customer: gateway.CustomerID(raw.Customer), Class: raw.Class, Plan: raw.Plan,
 		Units: raw.Units, Timeout: fromMicroseconds(raw.ClientTimeout), FirstGateway: int(raw.FirstGateway),
-		GatewayCount: int(raw.Spread)}, err
+		GatewayCount: int(raw.GatewayCount)}, err
 }
 
 // decodeOutcome decodes the outcome of an attempt.
@@ -236,8 +236,8 @@
 			return nil, fmt.Errorf("list entry without a backend or with the unknown state %q", entry.State)
 		}
 		list.Backends = append(list.Backends, gateway.BackendInfo{ID: gateway.BackendID(*entry.Backend), State: state,
-			Zone: entry.Zone, MachineType: entry.Kind, Cell: entry.Cell, Started: fromMicroseconds(entry.Started),
-			Weight: entry.Weight})
+			Zone: entry.Zone, MachineType: entry.MachineType, Cell: entry.Cell,
+			Started: fromMicroseconds(entry.Started), Weight: entry.Weight})
 	}
 	return list, nil
 }
