--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -17,14 +17,14 @@
 // A refusal without a time to come back invites the next try at once, which would be refused as well.
 func TestEveryRefusalSaysWhenToComeBack(t *testing.T) {
 	for plan, why := range map[string]string{"rated": "quota", "capped": "ceiling", "open": "attempts out"} {
-		r := newRig(t, testSettings(), fleet(2)...)
+		r := newTestGateway(t, testSettings(), testBackends(2)...)
 		r.now += second // fills some of the ceiling's part
 		refused := 0
 		for range 50 {
-			_, as := r.ask("safe", plan, 5)
+			_, as := r.submit("safe", plan, 5)
 			if f, ok := refusal(as); ok {
 				refused++
-				if f.RetryAfter <= 0 || f.RetryAfter > r.g.settings.MaxRetryAfter {
+				if f.RetryAfter <= 0 || f.RetryAfter > r.gateway.settings.MaxRetryAfter {
 					t.Fatalf("%s: told to come back after %v", why, f.RetryAfter)
 				}
 			}
@@ -33,8 +33,8 @@
 			t.Errorf("%s: nothing was refused", why)
 		}
 	}
-	r := newRig(t, testSettings())
-	if f, ok := refusal(actionsOf(r.ask("safe", "wide", 5))); !ok || f.RetryAfter <= 0 {
+	r := newTestGateway(t, testSettings())
+	if f, ok := refusal(actionsOf(r.submit("safe", "wide", 5))); !ok || f.RetryAfter <= 0 {
 		t.Errorf("without backends: refused %v, told %v", ok, f.RetryAfter)
 	}
 }
@@ -47,16 +47,16 @@
 	for _, plan := range []string{"rated", "capped"} {
 		s := testSettings()
 		s.MaxRetryAfter = time.Minute
-		r := newRig(t, s, fleet(2)...)
+		r := newTestGateway(t, s, testBackends(2)...)
 		r.now += second
 		var told time.Duration
 		for range 100 {
-			id, as := r.ask("safe", plan, 5)
+			id, as := r.submit("safe", plan, 5)
 			if f, ok := refusal(as); ok {
 				told = f.RetryAfter
 				break
 			} else {
-				r.outcome(id, sends(as)[0].Backend, 0, Answered)
+				r.endAttempt(id, sendActions(as)[0].Backend, 0, Answered)
 			}
 		}
 		if told <= 0 {
@@ -64,11 +64,11 @@
 		}
 		from := r.now
 		r.now = from + told/2
-		if _, early := refusal(actionsOf(r.ask("safe", plan, 5))); !early {
+		if _, early := refusal(actionsOf(r.submit("safe", plan, 5))); !early {
 			t.Errorf("%s: let in after half of the %v told", plan, told)
 		}
 		r.now = from + told + ms
-		if f, late := refusal(actionsOf(r.ask("safe", plan, 5))); late {
+		if f, late := refusal(actionsOf(r.submit("safe", plan, 5))); late {
 			t.Errorf("%s: refused again after the %v told, now told %v", plan, told, f.RetryAfter)
 		}
 	}
--- a/internal/gateway/ceiling_test.go
+++ b/internal/gateway/ceiling_test.go
@@ -6,11 +6,11 @@
 
 func TestCeilingParts(t *testing.T) {
 	s := testSettings()
-	r := newRig(t, s, fleet(2)...)
+	r := newTestGateway(t, s, testBackends(2)...)
 	passed := func(n int) (k int) {
 		for range n {
-			_, as := r.ask("safe", "capped", 9)
-			k += len(sends(as))
+			_, as := r.submit("safe", "capped", 9)
+			k += len(sendActions(as))
 		}
 		return k
 	}
@@ -26,7 +26,7 @@
 		t.Errorf("%d passed a second later, want half of 4", k)
 	}
 	s.Index, s.Gateways = 3, 4
-	r = newRig(t, s, fleet(2)...)
+	r = newTestGateway(t, s, testBackends(2)...)
 	r.now += 100 * second
 	if k := passed(3); k != 0 {
 		t.Errorf("%d passed at a door outside the customer's set", k)
@@ -34,11 +34,11 @@
 }
 
 func TestOpenCapPart(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(2)...)
+	r := newTestGateway(t, testSettings(), testBackends(2)...)
 	got := 0
 	for range 5 {
-		_, as := r.ask("safe", "open", 3)
-		got += len(sends(as))
+		_, as := r.submit("safe", "open", 3)
+		got += len(sendActions(as))
 	}
 	if got != 2 {
 		t.Errorf("%d out, want this door's half of 4", got)
@@ -51,30 +51,30 @@
 func TestRequestsWaitForAnAttemptToEnd(t *testing.T) {
 	s := testSettings()
 	s.Plans[3].MaxInFlight = 2 // one at each gateway
-	r := newRig(t, s, fleet(3)...)
-	r.g.meanLatency = 0.6 // seconds
-	one, as := r.ask("safe", "open", 3)
-	if len(sends(as)) != 1 {
+	r := newTestGateway(t, s, testBackends(3)...)
+	r.gateway.meanLatency = 0.6 // seconds
+	one, as := r.submit("safe", "open", 3)
+	if len(sendActions(as)) != 1 {
 		t.Fatalf("the first led to %+v", as)
 	}
-	two, as2 := r.ask("safe", "open", 3)
-	_, as3 := r.ask("safe", "open", 3)
-	if len(sends(as2))+len(sends(as3)) != 0 {
+	two, as2 := r.submit("safe", "open", 3)
+	_, as3 := r.submit("safe", "open", 3)
+	if len(sendActions(as2))+len(sendActions(as3)) != 0 {
 		t.Fatalf("sent over the limit: %+v %+v", as2, as3)
 	}
-	if refused, _ := finals(as2); refused != 0 {
+	if refused, _ := countFinalAnswers(as2); refused != 0 {
 		t.Errorf("one that could wait was refused")
 	}
-	if refused, _ := finals(as3); refused != 1 {
+	if refused, _ := countFinalAnswers(as3); refused != 1 {
 		t.Errorf("one that would wait for 1.2 s, of a 2 s aim and a patience of 6 s, led to %+v, want a refusal", as3)
 	}
 	r.now += 300 * ms
-	as = r.outcome(one, sends(as)[0].Backend, 0, Answered)
-	if got := sends(as); len(got) != 1 || got[0].Request != two {
+	as = r.endAttempt(one, sendActions(as)[0].Backend, 0, Answered)
+	if got := sendActions(as); len(got) != 1 || got[0].Request != two {
 		t.Fatalf("an attempt ended, which led to %+v", as)
 	}
 	r.now += 300 * ms
-	_, as = r.ask("safe", "open", 3)
+	_, as = r.submit("safe", "open", 3)
 	var hold SetTimer
 	for _, a := range as {
 		if timer, ok := a.(SetTimer); ok {
@@ -85,7 +85,7 @@
 		t.Fatalf("a held request led to %+v", as)
 	}
 	r.now += hold.After
-	if refused, _ := finals(r.do(Timer{Token: hold.Token})); refused != 1 {
+	if refused, _ := countFinalAnswers(r.handle(Timer{Token: hold.Token})); refused != 1 {
 		t.Error("one that waited in vain got no refusal")
 	}
 }
--- a/internal/gateway/concurrency_test.go
+++ b/internal/gateway/concurrency_test.go
@@ -8,8 +8,8 @@
 
 func TestN(t *testing.T) {
 	press := func(n, bad, ended float64, sick int, flow float64) float64 {
-		r := newRig(t, testSettings(), fleet(3)...)
-		g := r.g
+		r := newTestGateway(t, testSettings(), testBackends(3)...)
+		g := r.gateway
 		g.concurrencyLimit, g.partitionSize, g.outcomes, g.badOutcomes = n, [3]float64{0, 0, n}, ended, bad
 		g.inUse[sharedPool], g.sendRate = 50, 50 // many sends: a second is weighed by a half
 		g.sustainableLimit, g.lateAgeSum = flow, flow
@@ -50,8 +50,8 @@
 // One of many gateways hears a few answers a second. What they can carry in time is counted in full within the
 // first seconds, not begun from nothing, which would refuse a tenth of the requests after each start.
 func TestNFollowsTheFirstSecondsOfFewAnswers(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(30)...)
-	g := r.g
+	r := newTestGateway(t, testSettings(), testBackends(30)...)
+	g := r.gateway
 	const aims = 3.0
 	for second, least := range []float64{0.5, 0.75, 0.83, 0.87} {
 		g.sends, g.lateAgeSum, g.outcomes = 5, aims, 5
@@ -64,8 +64,8 @@
 
 // Marked attempts count as the slots they were squeezed from: in a jam N used to grow by its own cuts.
 func TestSubratedAttemptsDoNotLiftN(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(3)...)
-	g := r.g
+	r := newTestGateway(t, testSettings(), testBackends(3)...)
+	g := r.gateway
 	g.concurrencyLimit, g.partitionSize, g.markedCount, g.outcomes, g.badOutcomes, g.sustainableLimit = 100, [3]float64{0, 0, 100}, 60, 100, 50, 180
 	g.inUse[sharedPool] = 130
 	for b := range g.ranking.All() {
@@ -78,31 +78,31 @@
 
 // An attempt still out after half its aim presses N: the client's own time-out comes only in a standing jam.
 func TestOverdueAttemptsPressN(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(3)...)
+	r := newTestGateway(t, testSettings(), testBackends(3)...)
 	for i := range 30 {
-		r.ask("safe", "wide", CustomerID(i))
+		r.submit("safe", "wide", CustomerID(i))
 	}
 	r.now += 1100 * ms
-	r.do(Timer{Token: 0})
-	if math.IsInf(r.g.concurrencyLimit, 1) {
+	r.handle(Timer{Token: 0})
+	if math.IsInf(r.gateway.concurrencyLimit, 1) {
 		t.Error("N stayed unbounded with 30 attempts past half their aim")
 	}
 }
 
 // N does not wait for late answers: what a second's answers cannot carry in time is late already.
 func TestNHoldsABurstBeforeItIsLate(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(3)...)
+	r := newTestGateway(t, testSettings(), testBackends(3)...)
 	for i := range 30 {
-		id, as := r.ask("safe", "wide", CustomerID(i))
-		r.outcome(id, sends(as)[0].Backend, 0, Answered)
+		id, as := r.submit("safe", "wide", CustomerID(i))
+		r.endAttempt(id, sendActions(as)[0].Backend, 0, Answered)
 	}
 	for i := range 200 {
-		r.ask("safe", "wide", CustomerID(i))
+		r.submit("safe", "wide", CustomerID(i))
 	}
 	r.now += 300 * ms // nothing is late yet
-	r.do(Timer{Token: 0})
-	if r.g.concurrencyLimit > 30 {
-		t.Errorf("N %v after a second with 30 answers and 200 attempts out", r.g.concurrencyLimit)
+	r.handle(Timer{Token: 0})
+	if r.gateway.concurrencyLimit > 30 {
+		t.Errorf("N %v after a second with 30 answers and 200 attempts out", r.gateway.concurrencyLimit)
 	}
 }
 
@@ -121,22 +121,22 @@
 func TestNIsAFractionAtManyDoors(t *testing.T) {
 	s := testSettings()
 	s.Gateways = 600
-	r := newRig(t, s, fleet(60)...)
+	r := newTestGateway(t, s, testBackends(60)...)
 	var out [][]Action
 	for i := range 90 { // requests of which none is answered; their clients leave after six seconds
 		for range 3 {
-			_, as := r.ask("safe", "wide", CustomerID(i))
+			_, as := r.submit("safe", "wide", CustomerID(i))
 			out = append(out, as)
 		}
 		r.now += second
 		for _, as := range out[max(0, len(out)-21):max(0, len(out)-18)] {
-			for _, a := range sends(as) {
-				r.do(Outcome{Request: a.Request, Backend: a.Backend, Result: TimedOut, Duration: 6 * second, Final: true})
+			for _, a := range sendActions(as) {
+				r.handle(Outcome{Request: a.Request, Backend: a.Backend, Result: TimedOut, Duration: 6 * second, Final: true})
 			}
 		}
-		r.do(Timer{Token: 0})
+		r.handle(Timer{Token: 0})
 	}
-	if r.g.concurrencyLimit > 1.5 || r.g.concurrencyLimit < 60.0/600 {
-		t.Errorf("N %v after 90 s without an answer, want about one", r.g.concurrencyLimit)
+	if r.gateway.concurrencyLimit > 1.5 || r.gateway.concurrencyLimit < 60.0/600 {
+		t.Errorf("N %v after 90 s without an answer, want about one", r.gateway.concurrencyLimit)
 	}
 }
--- a/internal/gateway/example_test.go
+++ b/internal/gateway/example_test.go
@@ -7,7 +7,7 @@
 	"herontiller/internal/gateway"
 )
 
-// A gateway passes events in and carries out what comes back.
+// The embedding program passes each event to Handle and carries out the actions that it returns.
 func Example() {
 	g, err := gateway.New(gateway.Settings{
 		Gateways:    1,
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -8,128 +8,135 @@
 	"time"
 )
 
-// The fleet tests run many gateways beside each other over one clock. Nothing but their events reaches them, and
-// what is bounded is the sum over all of them: the gateways that restart from nothing and those that get most of
-// the traffic are among them. Outcomes come after random times, in the way of a back end that is half busy.
+// The fleet tests run many gateways on one simulated clock. The gateways share nothing but the events that they are
+// given, and the tests bound the sum over all of them, including gateways that restart without any state and those that
+// get most of the traffic. Attempts take random times, as at backends that are half loaded.
 
-type fleetEvent struct {
-	at   time.Duration
-	door int
-	life int
-	ev   Event
+// scheduledEvent is an event that a gateway is given at a time, unless the gateway has restarted before.
+type scheduledEvent struct {
+	at         time.Duration
+	gateway    int // index of the gateway
+	generation int // generation of the gateway when the event was scheduled
+	event      Event
 }
 
-type fleetQueue []fleetEvent
+// eventQueue is a heap of events, ordered by time.
+type eventQueue []scheduledEvent
 
-func (q fleetQueue) Len() int           { return len(q) }
-func (q fleetQueue) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q fleetQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *fleetQueue) Push(x any)        { *q = append(*q, x.(fleetEvent)) }
-func (q *fleetQueue) Pop() any {
-	old := *q
-	e := old[len(old)-1]
-	*q = old[:len(old)-1]
-	return e
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)        { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	events := *q
+	last := events[len(events)-1]
+	*q = events[:len(events)-1]
+	return last
 }
 
-// fleetRun is a fleet under way. The hooks see what all gateways do.
-type fleetRun struct {
-	t     *testing.T
-	set   Settings
-	rng   *rand.Rand
-	now   time.Duration
-	list  []BackendInfo
-	doors []*Gateway
-	lives []int
-	at    int     // the gateway that is acting
-	fails float64 // share of the attempts that end in an error
-	queue fleetQueue
-	next  RequestID
-	reqs  map[RequestID]Request
-	tries map[RequestID]int
-	use   func(CustomerID) (float64, bool) // the meter's word for an answer now
+// simulatedFleet simulates a fleet of gateways and their backends. Its hooks cover the actions of all gateways.
+type simulatedFleet struct {
+	t             *testing.T
+	settings      Settings
+	rng           *rand.Rand
+	now           time.Duration
+	backends      []BackendInfo
+	gateways      []*Gateway
+	generations   []int   // number of starts of each gateway
+	actingGateway int     // index of the gateway that handles the present event
+	errorShare    float64 // share of the attempts that end in an error
+	events        eventQueue
+	lastRequestID RequestID
+	requests      map[RequestID]Request
+	attemptCounts map[RequestID]int
+	meterReading  func(CustomerID) (float64, bool) // reading of the meter that an answer reports now, percent
 
-	onSend   func(r Request, b BackendID, first bool)
-	onEnd    func(r Request)
-	onRefuse func(r Request, after time.Duration)
+	onSend       func(request Request, backend BackendID, isFirst bool)
+	onAttemptEnd func(request Request) // an attempt has ended, or its gateway restarts
+	onReject     func(request Request, retryAfter time.Duration)
 }
 
-const fleetStart = 1000 * second // on the fleet's clock
+const simulationStart = 1000 * second // time at which the clock starts
+const meanAttemptTime = 100 * ms      // mean duration of an attempt
 
-const meanWork = 100 * ms // of an attempt in these tests
-
-func newFleet(t *testing.T, set Settings, seed uint64, backends int) *fleetRun {
-	f := &fleetRun{t: t, set: set, rng: rand.New(rand.NewPCG(seed, 9)), now: fleetStart, list: fleet(backends),
-		doors: make([]*Gateway, set.Gateways), lives: make([]int, set.Gateways), reqs: map[RequestID]Request{},
-		tries: map[RequestID]int{}, onSend: func(Request, BackendID, bool) {}, onEnd: func(Request) {},
-		onRefuse: func(Request, time.Duration) {}}
-	for door := range f.doors {
-		f.start(door)
+func newSimulatedFleet(t *testing.T, settings Settings, seed uint64, backends int) *simulatedFleet {
+	f := &simulatedFleet{t: t, settings: settings, rng: rand.New(rand.NewPCG(seed, 9)), now: simulationStart,
+		backends: testBackends(backends), gateways: make([]*Gateway, settings.Gateways),
+		generations: make([]int, settings.Gateways), requests: map[RequestID]Request{},
+		attemptCounts: map[RequestID]int{}, onSend: func(Request, BackendID, bool) {}, onAttemptEnd: func(Request) {},
+		onReject: func(Request, time.Duration) {}}
+	for index := range f.gateways {
+		f.start(index)
 	}
 	return f
 }
 
-// start begins a gateway from nothing but the list. What it had out before ends with it.
-func (f *fleetRun) start(door int) {
-	for _, e := range f.queue {
-		if o, ok := e.ev.(Outcome); ok && e.door == door && e.life == f.lives[door] {
-			f.onEnd(f.reqs[o.Request])
+// start starts or restarts a gateway with no state but a saved list. A restart ends its attempts in flight.
+func (f *simulatedFleet) start(index int) {
+	for _, pending := range f.events {
+		if outcome, ok := pending.event.(Outcome); ok && pending.gateway == index &&
+			pending.generation == f.generations[index] {
+			f.onAttemptEnd(f.requests[outcome.Request])
 		}
 	}
-	f.set.Index = door
-	g, err := New(f.set, f.rng.Uint64(), f.now)
+	f.settings.Index = index
+	gateway, err := New(f.settings, f.rng.Uint64(), f.now)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.doors[door] = g
-	f.lives[door]++
-	f.give(door, BackendList{Kind: ListSaved, Backends: f.list})
+	f.gateways[index] = gateway
+	f.generations[index]++
+	f.handle(index, BackendList{Kind: ListSaved, Backends: f.backends})
 }
 
-func (f *fleetRun) give(door int, ev Event) {
-	f.at = door
-	for _, a := range f.doors[door].Handle(f.now, ev, nil) {
-		switch a := a.(type) {
+// handle gives an event to a gateway and carries out the resulting actions.
+func (f *simulatedFleet) handle(index int, event Event) {
+	f.actingGateway = index
+	for _, action := range f.gateways[index].Handle(f.now, event, nil) {
+		switch action := action.(type) {
 		case Send:
-			r, n := f.reqs[a.Request], f.tries[a.Request]
-			f.tries[a.Request]++
-			f.onSend(r, a.Backend, n == 0)
-			took := seconds(meanWork.Seconds() * f.rng.ExpFloat64())
-			out := Outcome{Request: a.Request, Backend: a.Backend, Attempt: n, Result: Answered, Duration: took, Final: true}
-			if f.fails > 0 && f.rng.Float64() < f.fails {
-				out.Result, out.Final = AnsweredError, false
+			request, attempt := f.requests[action.Request], f.attemptCounts[action.Request]
+			f.attemptCounts[action.Request]++
+			f.onSend(request, action.Backend, attempt == 0)
+			duration := seconds(meanAttemptTime.Seconds() * f.rng.ExpFloat64())
+			outcome := Outcome{Request: action.Request, Backend: action.Backend, Attempt: attempt, Result: Answered,
+				Duration: duration, Final: true}
+			if f.errorShare > 0 && f.rng.Float64() < f.errorShare {
+				outcome.Result, outcome.Final = AnsweredError, false
 			}
-			f.after(took, door, out)
+			f.schedule(duration, index, outcome)
 		case Reject:
-			f.onRefuse(f.reqs[a.Request], a.RetryAfter)
+			f.onReject(f.requests[action.Request], action.RetryAfter)
 		case SetTimer:
-			f.after(a.After, door, Timer{Token: a.Token})
+			f.schedule(action.After, index, Timer{Token: action.Token})
 		}
 	}
 }
 
-func (f *fleetRun) after(d time.Duration, door int, ev Event) {
-	heap.Push(&f.queue, fleetEvent{f.now + d, door, f.lives[door], ev})
+// schedule gives an event to a gateway after a delay, unless the gateway restarts before.
+func (f *simulatedFleet) schedule(delay time.Duration, index int, event Event) {
+	heap.Push(&f.events, scheduledEvent{f.now + delay, index, f.generations[index], event})
 }
 
-// runUntil plays what is due, with requests of ask coming at the rate a second, or none where it gives no gateway.
-func (f *fleetRun) runUntil(end time.Duration, rate float64, ask func() (door int, r Request)) {
+// runUntil runs the simulation until the end. It calls nextRequest at random times, at the given mean rate per second,
+// and gives the request to the gateway with the index, or drops it if the index is negative.
+func (f *simulatedFleet) runUntil(end time.Duration, rate float64, nextRequest func() (index int, request Request)) {
 	arrival := f.now + seconds(f.rng.ExpFloat64()/rate)
 	for {
-		for len(f.queue) > 0 && f.queue[0].at <= min(arrival, end) {
-			e := heap.Pop(&f.queue).(fleetEvent)
-			f.now = max(f.now, e.at)
-			if e.life != f.lives[e.door] {
+		for len(f.events) > 0 && f.events[0].at <= min(arrival, end) {
+			next := heap.Pop(&f.events).(scheduledEvent)
+			f.now = max(f.now, next.at)
+			if next.generation != f.generations[next.gateway] {
 				continue
 			}
-			if o, ok := e.ev.(Outcome); ok {
-				f.onEnd(f.reqs[o.Request])
-				if f.use != nil {
-					o.UsagePercent, o.HasUsage = f.use(f.reqs[o.Request].Customer)
+			if outcome, ok := next.event.(Outcome); ok {
+				f.onAttemptEnd(f.requests[outcome.Request])
+				if f.meterReading != nil {
+					outcome.UsagePercent, outcome.HasUsage = f.meterReading(f.requests[outcome.Request].Customer)
 				}
-				e.ev = o
+				next.event = outcome
 			}
-			f.give(e.door, e.ev)
+			f.handle(next.gateway, next.event)
 		}
 		if arrival > end {
 			f.now = end
@@ -137,251 +144,257 @@
 		}
 		f.now = arrival
 		arrival += seconds(f.rng.ExpFloat64() / rate)
-		door, r := ask()
-		if door < 0 {
+		index, request := nextRequest()
+		if index < 0 {
 			continue
 		}
-		if r.ID == 0 {
-			f.next++
-			r.ID = f.next
+		if request.ID == 0 {
+			f.lastRequestID++
+			request.ID = f.lastRequestID
 		}
-		f.reqs[r.ID] = r
-		f.give(door, r)
+		f.requests[request.ID] = request
+		f.handle(index, request)
 	}
 }
 
-// unevenly draws a gateway of a set: the first of it gets several times what the last one gets.
-func (f *fleetRun) unevenly(first, spread int) int {
-	at := int(float64(spread) * math.Pow(f.rng.Float64(), 2.5))
-	return (first + at) % f.set.Gateways
+// pickUnevenly draws one of count consecutive gateways, the first of them several times as often as the last.
+func (f *simulatedFleet) pickUnevenly(first, count int) int {
+	offset := int(float64(count) * math.Pow(f.rng.Float64(), 2.5))
+	return (first + offset) % f.settings.Gateways
 }
 
-// All gateways together keep a customer under its ceiling, in rate and in attempts out, however many its gateways
-// are, however little comes to each of them, and whichever of them restart from nothing.
-func TestAllDoorsKeepTheCeilings(t *testing.T) {
+// All gateways together keep a customer within its ceiling and its limit of attempts in flight, whatever the number of
+// its gateways and the traffic of each, and while gateways restart without any state.
+func TestFleetKeepsCeilingsAndAttemptLimits(t *testing.T) {
 	for _, c := range []struct {
-		spread, open int
-		burst, most  float64 // of the ceiling; units of the largest request
-		rate         float64
+		gatewayCount, maxInFlight int
+		burst, maxUnits           float64 // burst of the ceiling; units of the largest request
+		rate                      float64 // of the quota; the ceiling has twice that
 	}{{2, 3, 60, 8, 20}, {4, 3, 64, 8, 20}, {4, 2, 64, 8, 20}, {3, 4, 60, 8, 20}, {5, 7, 80, 8, 20}, {20, 3, 8, 1, 20},
 		{30, 2, 8, 2, 20}, {12, 40, 20, 8, 20}, {20, 3, 400, 1, 400}, {30, 2, 800, 2, 400}, {15, 4, 240, 8, 400}} {
-		set := testSettings()
-		set.Gateways, set.MaxRequestUnits = 30, c.most
-		p := Plan{Name: "estate", Rate: c.rate, Burst: c.burst / 2, ValueFactor: 1, MaxInFlight: c.open, CeilingRate: 2 * c.rate, CeilingBurst: c.burst,
-			CeilingSlack: c.most}
-		set.Plans = append(set.Plans, p)
+		settings := testSettings()
+		settings.Gateways, settings.MaxRequestUnits = 30, c.maxUnits
+		plan := Plan{Name: "estate", Rate: c.rate, Burst: c.burst / 2, ValueFactor: 1,
+			MaxInFlight: c.maxInFlight, CeilingRate: 2 * c.rate, CeilingBurst: c.burst, CeilingSlack: c.maxUnits}
+		settings.Plans = append(settings.Plans, plan)
 		for seed := range uint64(3) {
-			f := newFleet(t, set, seed, 10)
+			fleet := newSimulatedFleet(t, settings, seed, 10)
 			const customers, length = 3, 20.0
-			var store [customers]float64
-			var at [customers]time.Duration
-			var out, mostOut [customers]int
-			var outTime [customers]float64 // attempt-seconds
-			var outAt [customers]time.Duration
-			count := func(i CustomerID, by int) {
-				outTime[i] += float64(out[i]) * (f.now - outAt[i]).Seconds()
-				outAt[i] = f.now
-				out[i] += by
-				mostOut[i] = max(mostOut[i], out[i])
+			var level [customers]float64
+			var levelAt [customers]time.Duration
+			var inFlight, maxInFlight [customers]int
+			var inFlightTime [customers]float64 // attempt-seconds
+			var inFlightAt [customers]time.Duration
+			addInFlight := func(id CustomerID, delta int) {
+				inFlightTime[id] += float64(inFlight[id]) * (fleet.now - inFlightAt[id]).Seconds()
+				inFlightAt[id] = fleet.now
+				inFlight[id] += delta
+				maxInFlight[id] = max(maxInFlight[id], inFlight[id])
 			}
 			sent := 0
-			for i := range store {
-				store[i], at[i], outAt[i] = c.burst, f.now, f.now
+			for id := range level {
+				level[id], levelAt[id], inFlightAt[id] = c.burst, fleet.now, fleet.now
 			}
-			f.onSend = func(r Request, _ BackendID, first bool) {
-				i := r.Customer
-				count(i, 1)
-				if !first {
+			fleet.onSend = func(request Request, _ BackendID, isFirst bool) {
+				id := request.Customer
+				addInFlight(id, 1)
+				if !isFirst {
 					return
 				}
 				sent++
-				store[i] = min(c.burst, store[i]+p.CeilingRate*(f.now-at[i]).Seconds()) - r.Units
-				if at[i] = f.now; store[i] < -1e-6 {
-					t.Fatalf("%+v seed %d: the ceiling's store is at %v", c, seed, store[i])
+				level[id] = min(c.burst, level[id]+plan.CeilingRate*(fleet.now-levelAt[id]).Seconds()) - request.Units
+				if levelAt[id] = fleet.now; level[id] < -1e-6 {
+					t.Fatalf("%+v seed %d: got level %v of the ceiling's bucket, want >= 0", c, seed, level[id])
 				}
 			}
-			f.onEnd = func(r Request) { count(r.Customer, -1) }
-			ask := func() (int, Request) {
-				i := f.rng.IntN(customers)
-				first := 7 * i
-				return f.unevenly(first, c.spread), Request{Customer: CustomerID(i), Class: "safe", Plan: p.Name,
-					Units: 1 + float64(f.rng.IntN(int(c.most))), Timeout: 3 * second, FirstGateway: first, GatewayCount: c.spread}
+			fleet.onAttemptEnd = func(request Request) { addInFlight(request.Customer, -1) }
+			nextRequest := func() (int, Request) {
+				id := fleet.rng.IntN(customers)
+				firstGateway := 7 * id
+				return fleet.pickUnevenly(firstGateway, c.gatewayCount), Request{Customer: CustomerID(id),
+					Class: "safe", Plan: plan.Name, Units: 1 + float64(fleet.rng.IntN(int(c.maxUnits))),
+					Timeout: 3 * second, FirstGateway: firstGateway, GatewayCount: c.gatewayCount}
 			}
 			for range int(length) {
-				f.runUntil(f.now+second, 200, ask)
+				fleet.runUntil(fleet.now+second, 200, nextRequest)
 				for range 3 {
-					f.start(f.rng.IntN(set.Gateways))
+					fleet.start(fleet.rng.IntN(settings.Gateways))
 				}
 			}
-			for i, n := range mostOut {
-				if most := max(c.open, c.spread); n > most { // a gateway with a part of one attempt has one at most
-					t.Errorf("%+v seed %d: %d attempts of customer %d out at once", c, seed, n, i)
+			for id, count := range maxInFlight {
+				if limit := max(c.maxInFlight, c.gatewayCount); count > limit { // a share below one attempt allows one
+					t.Errorf("%+v seed %d: got %d of customer %d in flight, want <= %d", c, seed, count, id, limit)
 				}
-				if mean := outTime[i] / length; mean > float64(c.open)+1 { // the rule's slack is one request
-					t.Errorf("%+v seed %d: %.2f attempts of customer %d out on average", c, seed, mean, i)
+				if mean := inFlightTime[id] / length; mean > float64(c.maxInFlight)+1 { // the rule has a slack of one
+					t.Errorf("%+v seed %d: got %.2f attempts of customer %d in flight on average, want <= %d",
+						c, seed, mean, id, c.maxInFlight+1)
 				}
 			}
 			if sent < 100 {
-				t.Errorf("%+v seed %d: only %d requests sent, too few to tell anything", c, seed, sent)
+				t.Errorf("%+v seed %d: got %d requests sent, want at least 100", c, seed, sent)
 			}
 		}
 	}
 }
 
-// A cold backend bears only so much of what all gateways send: FallMultiple of its capacity over FallFor. Most
-// gateways are killed and come back just when half of the backends have been replaced, so that all of them know
-// nothing at once.
-func TestAllDoorsSpareColdBackends(t *testing.T) {
-	const doors, backends, replaced, perDoor = 150, 90, 45, 10.0
-	const capacity = 20.0 // attempts a second of a warm backend: two cores and meanWork; the fleet asks for 83 in 100 of it
-	set := testSettings()
-	set.Gateways, set.ColdCapacity, set.WarmUpTime, set.OverloadMultiple, set.OverloadTime = doors, 0.19, 15*second, 3, 1500*ms
+// All gateways together do not send a cold backend OverloadMultiple times its capacity over OverloadTime. Most
+// gateways restart at the moment at which half of the backends are replaced, so that they have no history of them.
+func TestRestartingFleetDoesNotOverloadColdBackends(t *testing.T) {
+	const gateways, backends, replaced, gatewayRate = 150, 90, 45, 10.0
+	const capacity = 20.0 // attempts/s of a warm backend: two cores and meanAttemptTime; the load is 83 % of it
+	settings := testSettings()
+	settings.Gateways, settings.ColdCapacity, settings.WarmUpTime, settings.OverloadMultiple,
+		settings.OverloadTime = gateways, 0.19, 15*second, 3, 1500*ms
 	for seed := range uint64(3) {
-		f := newFleet(t, set, seed, backends)
-		ask := func() (int, Request) {
-			return f.unevenly(0, doors), Request{Customer: CustomerID(f.rng.IntN(5000)), Class: "safe", Plan: "wide", Units: 1,
-				Timeout: 3 * second, GatewayCount: doors}
+		fleet := newSimulatedFleet(t, settings, seed, backends)
+		nextRequest := func() (int, Request) {
+			return fleet.pickUnevenly(0, gateways), Request{Customer: CustomerID(fleet.rng.IntN(5000)), Class: "safe",
+				Plan: "wide", Units: 1, Timeout: 3 * second, GatewayCount: gateways}
 		}
-		f.runUntil(f.now+8*second, doors*perDoor, ask)
-		born := f.now
+		fleet.runUntil(fleet.now+8*second, gateways*gatewayRate, nextRequest)
+		replacedAt := fleet.now
 		for i := range replaced {
-			f.list[i].Started = born
+			fleet.backends[i].Started = replacedAt
 		}
-		for door := range doors {
-			if f.rng.IntN(10) < 7 {
-				f.start(door)
+		for index := range gateways {
+			if fleet.rng.IntN(10) < 7 {
+				fleet.start(index)
 			} else {
-				f.give(door, BackendList{Kind: ListChanges, Backends: f.list})
+				fleet.handle(index, BackendList{Kind: ListChanges, Backends: fleet.backends})
 			}
 		}
-		sent := make([][]time.Duration, backends+1)
-		f.onSend = func(_ Request, b BackendID, _ bool) { sent[b] = append(sent[b], f.now) }
-		f.runUntil(born+6*second, doors*perDoor, ask)
-		worst := 0.0
-		for b := 1; b <= replaced; b++ {
-			for i, from := 0, 0; i < len(sent[b]); i++ {
-				for sent[b][i]-sent[b][from] > set.OverloadTime {
-					from++
+		sendTimes := make([][]time.Duration, backends+1)
+		fleet.onSend = func(_ Request, id BackendID, _ bool) { sendTimes[id] = append(sendTimes[id], fleet.now) }
+		fleet.runUntil(replacedAt+6*second, gateways*gatewayRate, nextRequest)
+		maxLoad := 0.0
+		for backend := 1; backend <= replaced; backend++ {
+			for i, first := 0, 0; i < len(sendTimes[backend]); i++ {
+				for sendTimes[backend][i]-sendTimes[backend][first] > settings.OverloadTime {
+					first++
 				}
-				age := (sent[b][from] - born).Seconds()
-				warmth := set.ColdCapacity + (1-set.ColdCapacity)*age/set.WarmUpTime.Seconds()
-				worst = max(worst, float64(i-from+1)/(set.OverloadMultiple*warmth*capacity*set.OverloadTime.Seconds()))
+				age := (sendTimes[backend][first] - replacedAt).Seconds()
+				warmth := settings.ColdCapacity + (1-settings.ColdCapacity)*age/settings.WarmUpTime.Seconds()
+				maxLoad = max(maxLoad, float64(i-first+1)/
+					(settings.OverloadMultiple*warmth*capacity*settings.OverloadTime.Seconds()))
 			}
 		}
-		t.Logf("seed %d: at most %.2f of what makes a cold backend fall", seed, worst)
-		if worst > 1 {
-			t.Errorf("seed %d: a cold backend was sent %.2f times what it bears", seed, worst)
+		t.Logf("seed %d: at most %.2f of the load that overloads a cold backend", seed, maxLoad)
+		if maxLoad > 1 {
+			t.Errorf("seed %d: a cold backend got %.2f of the load that overloads it, want at most 1", seed, maxLoad)
 		}
 	}
 }
 
-// Where readings of the meter come with answers, in the time that they take, all gateways of a customer that asks
-// for many times its quota send about the quota: what none of them can know yet is all that is beyond it.
-func TestAllDoorsKeepTheQuota(t *testing.T) {
-	const doors, late, length = 8, 700 * ms, 30.0
-	set := testSettings()
-	set.Gateways, set.MeterPeriod, set.MaxRequestUnits = doors, 500*ms, 2
-	p := Plan{Name: "business", Rate: 12, Burst: 24, ValueFactor: 1}
-	set.Plans = append(set.Plans, p)
+// All gateways together send about the quota of a customer that requests a multiple of it, if the meter's readings come
+// with the answers. The only excess allowed is what no gateway can know of until a reading shows it.
+func TestFleetSendsAboutTheQuota(t *testing.T) {
+	const gateways, meterDelay, length = 8, 700 * ms, 30.0
+	settings := testSettings()
+	settings.Gateways, settings.MeterPeriod, settings.MaxRequestUnits = gateways, 500*ms, 2
+	plan := Plan{Name: "business", Rate: 12, Burst: 24, ValueFactor: 1}
+	settings.Plans = append(settings.Plans, plan)
 	for seed := range uint64(3) {
-		f := newFleet(t, set, seed, 20)
-		periods := map[time.Duration]float64{}
+		fleet := newSimulatedFleet(t, settings, seed, 20)
+		unitsByPeriod := map[time.Duration]float64{}
 		total := 0.0
-		f.onSend = func(r Request, _ BackendID, first bool) {
-			if first {
-				periods[f.now/set.MeterPeriod] += r.Units
-				total += r.Units
+		fleet.onSend = func(request Request, _ BackendID, isFirst bool) {
+			if isFirst {
+				unitsByPeriod[fleet.now/settings.MeterPeriod] += request.Units
+				total += request.Units
 			}
 		}
-		f.use = func(CustomerID) (float64, bool) {
-			return 100 * periods[(f.now-late)/set.MeterPeriod-1] / (p.Rate * set.MeterPeriod.Seconds()), true
+		fleet.meterReading = func(CustomerID) (float64, bool) {
+			return 100 * unitsByPeriod[(fleet.now-meterDelay)/settings.MeterPeriod-1] /
+				(plan.Rate * settings.MeterPeriod.Seconds()), true
 		}
-		ask := func() (int, Request) {
-			return f.unevenly(0, doors), Request{Customer: 1, Class: "safe", Plan: p.Name, Units: 1 + float64(f.rng.IntN(2)),
-				Timeout: 3 * second, GatewayCount: doors}
+		nextRequest := func() (int, Request) {
+			return fleet.pickUnevenly(0, gateways), Request{Customer: 1, Class: "safe", Plan: plan.Name,
+				Units: 1 + float64(fleet.rng.IntN(2)), Timeout: 3 * second, GatewayCount: gateways}
 		}
-		f.runUntil(f.now+seconds(length), 5*p.Rate, ask)
-		may := p.Burst + p.Rate*length
-		t.Logf("seed %d: %.0f units sent, the quota is %.0f", seed, total, may)
-		if total > 1.5*may || total < may/2 {
-			t.Errorf("seed %d: %.0f units sent, the quota is %.0f", seed, total, may)
+		fleet.runUntil(fleet.now+seconds(length), 5*plan.Rate, nextRequest)
+		quota := plan.Burst + plan.Rate*length
+		t.Logf("seed %d: %.0f units sent, the quota is %.0f", seed, total, quota)
+		if total > 1.5*quota || total < quota/2 {
+			t.Errorf("seed %d: got %.0f units sent, want %.0f to %.0f", seed, total, quota/2, 1.5*quota)
 		}
 	}
 }
 
-// In a fleet of many gateways, where most requests of a customer are the first that their gateway sees of it,
-// customers that ask for four times their quota send less beyond it than where all first requests pass (0.26 to
-// 0.30 of the units here), and those that ask for half of it are served about half at least, a large request now
-// and then among them. Some gateways restart from nothing. The true state is kept by the test.
-func TestManyDoorsSendLittleBeyondTheQuota(t *testing.T) {
-	const doors, late, length, heavy, calm = 150, 700 * ms, 30.0, 4, 12
-	set := testSettings()
-	set.Gateways, set.MeterPeriod, set.MaxRequestUnits = doors, 500*ms, 8
-	p := Plan{Name: "basic", Rate: 4, Burst: 16, ValueFactor: 1, ExcessCostShare: 1}
-	set.Plans = append(set.Plans, p)
-	large := 0.0
+// In a large fleet, most requests of a customer are the first that their gateway gets from it, and little is sent
+// beyond the quota. Admitting all first requests makes 0.26 to 0.30 of the units sent excess; customers that request
+// four times their quota must have less. Customers that request half of theirs must get at least about half of that,
+// including some large requests. Some gateways restart without any state. The test computes the true levels.
+func TestLargeFleetSendsLittleBeyondTheQuota(t *testing.T) {
+	const gateways, meterDelay, length, heavy, light = 150, 700 * ms, 30.0, 4, 12
+	settings := testSettings()
+	settings.Gateways, settings.MeterPeriod, settings.MaxRequestUnits = gateways, 500*ms, 8
+	plan := Plan{Name: "basic", Rate: 4, Burst: 16, ValueFactor: 1, ExcessCostShare: 1}
+	settings.Plans = append(settings.Plans, plan)
+	totalLargeSent := 0.0
 	for seed := range uint64(5) {
-		f := newFleet(t, set, seed, 20)
-		type state struct {
-			store   float64
-			at      time.Duration
-			periods map[time.Duration]float64
+		fleet := newSimulatedFleet(t, settings, seed, 20)
+		type customerQuota struct {
+			level         float64 // of the token bucket
+			levelAt       time.Duration
+			unitsByPeriod map[time.Duration]float64 // units sent in each period of the meter
 		}
-		customers := make([]state, heavy+calm)
+		customers := make([]customerQuota, heavy+light)
 		for i := range customers {
-			customers[i] = state{p.Burst, f.now, map[time.Duration]float64{}}
+			customers[i] = customerQuota{plan.Burst, fleet.now, map[time.Duration]float64{}}
 		}
-		var beyond, sent, calmAsked, calmSent, largeAsked, largeSent float64
-		f.onSend = func(r Request, _ BackendID, first bool) {
-			c := &customers[r.Customer]
-			if !first {
+		var excess, sent, lightRequested, lightSent, largeRequested, largeSent float64
+		fleet.onSend = func(request Request, _ BackendID, isFirst bool) {
+			customer := &customers[request.Customer]
+			if !isFirst {
 				return
 			}
-			c.store = min(p.Burst, c.store+p.Rate*(f.now-c.at).Seconds())
-			c.at = f.now
-			c.periods[f.now/set.MeterPeriod] += r.Units
-			sent += r.Units
-			if r.Customer >= heavy {
-				calmSent += r.Units
-				largeSent += float64(boolToInt(r.Units >= 6))
+			customer.level = min(plan.Burst, customer.level+plan.Rate*(fleet.now-customer.levelAt).Seconds())
+			customer.levelAt = fleet.now
+			customer.unitsByPeriod[fleet.now/settings.MeterPeriod] += request.Units
+			sent += request.Units
+			if request.Customer >= heavy {
+				lightSent += request.Units
+				largeSent += float64(boolToInt(request.Units >= 6))
 			}
-			if c.store < r.Units {
-				beyond += r.Units
+			if customer.level < request.Units {
+				excess += request.Units
 			} else {
-				c.store -= r.Units
+				customer.level -= request.Units
 			}
 		}
-		f.use = func(id CustomerID) (float64, bool) {
-			return 100 * customers[id].periods[(f.now-late)/set.MeterPeriod-1] / (p.Rate * set.MeterPeriod.Seconds()), true
+		fleet.meterReading = func(id CustomerID) (float64, bool) {
+			return 100 * customers[id].unitsByPeriod[(fleet.now-meterDelay)/settings.MeterPeriod-1] /
+				(plan.Rate * settings.MeterPeriod.Seconds()), true
 		}
-		const heavyRate, calmRate = 4.0, 0.5 // times the quota
-		asks := 0
-		ask := func() (int, Request) {
-			if asks++; asks%500 == 0 {
-				f.start(f.rng.IntN(doors))
+		const heavyRate, lightRate = 4.0, 0.5 // multiples of the quota
+		requests := 0
+		nextRequest := func() (int, Request) {
+			if requests++; requests%500 == 0 {
+				fleet.start(fleet.rng.IntN(gateways))
 			}
-			id := CustomerID(f.rng.IntN(heavy))
-			if f.rng.Float64() < calm*calmRate/(calm*calmRate+heavy*heavyRate) {
-				id = heavy + CustomerID(f.rng.IntN(calm))
+			id := CustomerID(fleet.rng.IntN(heavy))
+			if fleet.rng.Float64() < light*lightRate/(light*lightRate+heavy*heavyRate) {
+				id = heavy + CustomerID(fleet.rng.IntN(light))
 			}
-			units := min(8, 1+math.Floor(f.rng.ExpFloat64()*1.5))
+			units := min(8, 1+math.Floor(fleet.rng.ExpFloat64()*1.5))
 			if id >= heavy {
-				calmAsked += units
-				largeAsked += float64(boolToInt(units >= 6))
+				lightRequested += units
+				largeRequested += float64(boolToInt(units >= 6))
 			}
-			return f.unevenly(0, doors), Request{Customer: id, Class: "safe", Plan: p.Name, Units: units,
-				Timeout: 3 * second, GatewayCount: doors}
+			return fleet.pickUnevenly(0, gateways), Request{Customer: id, Class: "safe", Plan: plan.Name, Units: units,
+				Timeout: 3 * second, GatewayCount: gateways}
 		}
 		const meanUnits = 2.0
-		f.runUntil(f.now+seconds(length), (heavy*heavyRate+calm*calmRate)*p.Rate/meanUnits, ask)
-		t.Logf("seed %d: %.3f of the units sent were beyond; of those within, %.2f were sent, of the large requests %.2f",
-			seed, beyond/sent, calmSent/calmAsked, largeSent/largeAsked)
-		if beyond > 0.23*sent || calmSent < 0.5*calmAsked {
-			t.Errorf("seed %d: too much beyond the quota, or too little within it", seed)
+		fleet.runUntil(fleet.now+seconds(length), (heavy*heavyRate+light*lightRate)*plan.Rate/meanUnits, nextRequest)
+		t.Logf("seed %d: %.3f of the units sent are excess; light customers had %.2f of the units and %.2f of the "+
+			"large requests sent", seed, excess/sent, lightSent/lightRequested, largeSent/largeRequested)
+		if excess > 0.23*sent || lightSent < 0.5*lightRequested {
+			t.Errorf("seed %d: got %.3f excess and %.2f of the light customers' units sent, want <= 0.23 and >= 0.5",
+				seed, excess/sent, lightSent/lightRequested)
 		}
-		large += largeSent
+		totalLargeSent += largeSent
 	}
-	if large == 0 {
-		t.Error("no large request of a calm customer was ever sent")
+	if totalLargeSent == 0 {
+		t.Error("got no large request of a light customer sent, want some")
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -37,10 +37,10 @@
 }
 
 func TestOddEventsDoNothing(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(2)...)
-	id, as := r.ask("safe", "wide", 1)
-	b := sends(as)[0].Backend
-	r.outcome(id, b, 0, Answered)
+	r := newTestGateway(t, testSettings(), testBackends(2)...)
+	id, as := r.submit("safe", "wide", 1)
+	b := sendActions(as)[0].Backend
+	r.endAttempt(id, b, 0, Answered)
 	for _, ev := range []Event{
 		Outcome{Request: id, Backend: b, Result: TimedOut}, Outcome{Request: 999, Backend: 77},
 		Outcome{Request: id, Attempt: -4}, ClientGone{Request: id}, ClientGone{Request: 12345},
@@ -48,12 +48,12 @@
 		ProbeResult{Backend: 99}, BackendList{Kind: ListFailed},
 		BackendList{Kind: ListChanges, Backends: []BackendInfo{{ID: 50, State: Gone}}},
 	} {
-		if as := r.do(ev); len(as) != 0 {
+		if as := r.handle(ev); len(as) != 0 {
 			t.Errorf("%#v led to %v", ev, as)
 		}
 	}
-	if r.g.inUse != [3]int{} {
-		t.Errorf("slots left in use: %v", r.g.inUse)
+	if r.gateway.inUse != [3]int{} {
+		t.Errorf("slots left in use: %v", r.gateway.inUse)
 	}
 }
 
@@ -67,27 +67,27 @@
 		"patience": func(q *Request) { q.Timeout = 0 },
 	}
 	for name, spoil := range cases {
-		r, q := newRig(t, testSettings(), fleet(1)...), good
+		r, q := newTestGateway(t, testSettings(), testBackends(1)...), good
 		spoil(&q)
-		if n, _ := finals(r.do(q)); n != 1 {
+		if n, _ := countFinalAnswers(r.handle(q)); n != 1 {
 			t.Errorf("%s: %d refusals", name, n)
 		}
 	}
-	r := newRig(t, testSettings())
-	if n, _ := finals(r.do(good)); n != 1 || held(r.g) != 0 {
-		t.Errorf("no backend: %d refusals, %d slots held", n, held(r.g))
+	r := newTestGateway(t, testSettings())
+	if n, _ := countFinalAnswers(r.handle(good)); n != 1 || slotsInUse(r.gateway) != 0 {
+		t.Errorf("no backend: %d refusals, %d slots held", n, slotsInUse(r.gateway))
 	}
 }
 
 func TestEqualInstancesActAlike(t *testing.T) {
-	a, b := newRig(t, testSettings(), fleet(7)...), newRig(t, testSettings(), fleet(7)...)
+	a, b := newTestGateway(t, testSettings(), testBackends(7)...), newTestGateway(t, testSettings(), testBackends(7)...)
 	for i := range 500 {
 		a.now += 3 * ms
 		b.now = a.now
-		_, x := a.ask("safe", "rated", CustomerID(i%9))
-		_, y := b.ask("safe", "rated", CustomerID(i%9))
+		_, x := a.submit("safe", "rated", CustomerID(i%9))
+		_, y := b.submit("safe", "rated", CustomerID(i%9))
 		if i%50 == 0 {
-			x, y = append(x, a.do(Timer{})...), append(y, b.do(Timer{})...)
+			x, y = append(x, a.handle(Timer{})...), append(y, b.handle(Timer{})...)
 		}
 		if !reflect.DeepEqual(x, y) {
 			t.Fatalf("step %d: %v and %v", i, x, y)
@@ -96,14 +96,14 @@
 }
 
 func TestIdleCustomersAreForgotten(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(1)...)
+	r := newTestGateway(t, testSettings(), testBackends(1)...)
 	for i := range 1000 {
-		id, as := r.ask("safe", "rated", CustomerID(i))
-		r.outcome(id, sends(as)[0].Backend, 0, Answered)
+		id, as := r.submit("safe", "rated", CustomerID(i))
+		r.endAttempt(id, sendActions(as)[0].Backend, 0, Answered)
 	}
 	r.now += customerIdleTime + second
-	r.do(Timer{})
-	if n := len(r.g.customers); n != 0 {
+	r.handle(Timer{})
+	if n := len(r.gateway.customers); n != 0 {
 		t.Errorf("%d customers kept after a minute idle", n)
 	}
 }
--- a/internal/gateway/listing_test.go
+++ b/internal/gateway/listing_test.go
@@ -12,9 +12,9 @@
 func TestListsAreKeptWhateverTheySay(t *testing.T) {
 	const backends, steps = 40, 3000
 	rng := rand.New(rand.NewPCG(5, 6))
-	r := newRig(t, testSettings(), fleet(backends/2)...)
+	r := newTestGateway(t, testSettings(), testBackends(backends/2)...)
 	want := map[BackendID]BackendInfo{}
-	for _, info := range fleet(backends / 2) {
+	for _, info := range testBackends(backends / 2) {
 		want[info.ID] = info
 	}
 	type out struct {
@@ -25,8 +25,8 @@
 	for step := range steps {
 		r.now += 10 * ms
 		if rng.IntN(3) == 0 {
-			_, actions := r.ask("safe", "wide", 1)
-			for _, s := range sends(actions) {
+			_, actions := r.submit("safe", "wide", 1)
+			for _, s := range sendActions(actions) {
 				sent = append(sent, out{s, 0})
 			}
 		}
@@ -34,7 +34,7 @@
 			i := rng.IntN(len(sent))
 			o := sent[i]
 			sent = slices.Delete(sent, i, i+1)
-			for _, s := range sends(r.outcome(o.Request, o.Backend, o.try, []Result{Answered, NoConnection, Rejected}[rng.IntN(3)])) {
+			for _, s := range sendActions(r.endAttempt(o.Request, o.Backend, o.try, []Result{Answered, NoConnection, Rejected}[rng.IntN(3)])) {
 				sent = append(sent, out{s, o.try + 1})
 			}
 		}
@@ -51,8 +51,8 @@
 			list.Backends = append(list.Backends, info)
 			want[info.ID] = info
 		}
-		r.do(list)
-		checkListing(t, r.g, want, step)
+		r.handle(list)
+		checkListing(t, r.gateway, want, step)
 	}
 }
 
@@ -98,18 +98,18 @@
 // these are no more than that.
 func TestLooksAreBounded(t *testing.T) {
 	looks := func(backends int) (most int) {
-		r := newRig(t, testSettings(), fleet(backends)...)
-		r.g.sendRate = 1000
+		r := newTestGateway(t, testSettings(), testBackends(backends)...)
+		r.gateway.sendRate = 1000
 		for range 50 {
 			r.now += ms
-			_, actions := r.ask("safe", "wide", 1)
-			s := sends(actions)[0]
+			_, actions := r.submit("safe", "wide", 1)
+			s := sendActions(actions)[0]
 			looked := 0
-			for b := range r.g.ranking.All() {
+			for b := range r.gateway.ranking.All() {
 				looked += boolToInt(b.overdueAt == r.now)
 			}
 			most = max(most, looked)
-			r.outcome(s.Request, s.Backend, 0, Answered)
+			r.endAttempt(s.Request, s.Backend, 0, Answered)
 		}
 		return most
 	}
@@ -123,15 +123,15 @@
 // Of the backends that a gateway keeps to all are used, also where it looks at a part of them each time.
 func TestAllKeptBackendsAreUsed(t *testing.T) {
 	const kept, requests = 2 * maxCandidates, 20 * 2 * maxCandidates
-	r := newRig(t, testSettings(), fleet(4*kept)...)
+	r := newTestGateway(t, testSettings(), testBackends(4*kept)...)
 	used := map[BackendID]int{}
 	for range requests {
 		r.now += second / (kept / 4) // so that known() is kept
-		r.g.sendRate = kept / 4
-		_, actions := r.ask("safe", "wide", 1)
-		s := sends(actions)[0]
+		r.gateway.sendRate = kept / 4
+		_, actions := r.submit("safe", "wide", 1)
+		s := sendActions(actions)[0]
 		used[s.Backend]++
-		r.outcome(s.Request, s.Backend, 0, Answered)
+		r.endAttempt(s.Request, s.Backend, 0, Answered)
 	}
 	least := requests
 	for _, n := range used {
--- a/internal/gateway/property_test.go
+++ b/internal/gateway/property_test.go
@@ -9,317 +9,349 @@
 	"time"
 )
 
-// The property tests feed several gateways random but legal events and check the five rules on what they do. The
-// events know nothing of queues or load: this is a checker, no model of a back end.
+// The property tests give several gateways random but valid events and check that the actions keep five rules: one
+// final answer in time for each request, no send that the settings or the list of backends forbid, no request that may
+// run twice against its class, the ceilings, and the protection of cold backends. The events do not depend on load or
+// queues, so this is not a model of a back end.
 
-type seenTry struct {
-	door, try int
-	backend   BackendID
-	sent      time.Duration
-	open      bool
-	result    Result
+// recordedAttempt is an attempt that a gateway sent.
+type recordedAttempt struct {
+	gateway, index int // indices of the gateway and of the attempt among its request's
+	backend        BackendID
+	sentAt         time.Duration
+	inFlight       bool
+	result         Result
 }
 
-type seenRequest struct {
-	door    int
-	req     Request
-	due     time.Duration
-	class   Class
-	tries   []*seenTry
-	ended   bool
-	endedAt time.Duration
+// recordedRequest is a request that a gateway was given.
+type recordedRequest struct {
+	gateway  int // index of the gateway
+	request  Request
+	deadline time.Duration // when its client times out
+	class    Class
+	attempts []*recordedAttempt
+	ended    bool
+	endedAt  time.Duration
 }
 
+// pendingTimer is a timer that a gateway set. It expires only if the gateway has not restarted since.
 type pendingTimer struct {
-	at    time.Duration
-	token uint64
-	life  int
+	at         time.Duration
+	token      uint64
+	generation int // generation of the gateway when it set the timer
 }
 
-type checker struct {
-	t        *testing.T
-	set      Settings
-	rng      *rand.Rand
-	now      time.Duration
-	doors    []*Gateway
-	lives    []int
-	timers   [][]pendingTimer
-	told     []map[BackendID]BackendInfo
-	requests map[RequestID]*seenRequest
-	order    []RequestID
-	next     RequestID
-	ceiling  map[CustomerID]float64
-	ceilAt   map[CustomerID]time.Duration
-	cold     map[BackendID][]time.Duration
-	log      []string
+// ruleChecker gives events to gateways and checks their actions against the rules.
+type ruleChecker struct {
+	t                *testing.T
+	settings         Settings
+	rng              *rand.Rand
+	now              time.Duration
+	gateways         []*Gateway
+	generations      []int // number of starts of each gateway
+	timers           [][]pendingTimer
+	receivedBackends []map[BackendID]BackendInfo // the list that each gateway has received
+	requests         map[RequestID]*recordedRequest
+	activeRequests   []RequestID // not ended or with an attempt in flight, oldest first
+	lastRequestID    RequestID
+	ceilingLevels    map[CustomerID]float64 // levels of the ceilings' token buckets, as of ceilingLevelAt
+	ceilingLevelAt   map[CustomerID]time.Duration
+	coldSendTimes    map[BackendID][]time.Duration // of the sends to backends that have just started
+	actionLog        []string                      // the actions of all gateways, each after its gateway's index
 }
 
-func (k *checker) fail(format string, args ...any) {
-	k.t.Helper()
-	k.t.Fatalf("at %v: %s", k.now, fmt.Sprintf(format, args...))
+// fail ends the test with a message.
+func (c *ruleChecker) fail(format string, args ...any) {
+	c.t.Helper()
+	c.t.Fatalf("at %v: %s", c.now, fmt.Sprintf(format, args...))
 }
 
-func (k *checker) class(name string) Class {
-	for _, c := range k.set.Classes {
-		if c.Name == name {
-			return c
+func (c *ruleChecker) class(name string) Class {
+	for _, class := range c.settings.Classes {
+		if class.Name == name {
+			return class
 		}
 	}
-	k.fail("no class %q", name)
+	c.fail("no class %q", name)
 	return Class{}
 }
 
-func (k *checker) give(door int, ev Event) {
-	for _, a := range k.doors[door].Handle(k.now, ev, nil) {
-		k.log = append(k.log, fmt.Sprintf("%d %#v", door, a))
-		k.see(door, a)
+// handle gives an event to a gateway and checks the resulting actions.
+func (c *ruleChecker) handle(index int, event Event) {
+	for _, action := range c.gateways[index].Handle(c.now, event, nil) {
+		c.actionLog = append(c.actionLog, fmt.Sprintf("%d %#v", index, action))
+		c.checkAction(index, action)
 	}
 }
 
-// see checks one action against the rules.
-func (k *checker) see(door int, a Action) {
-	final := func(id RequestID, refusal bool) {
-		r := k.requests[id]
-		if r == nil || r.door != door || r.ended {
-			k.fail("a second or stray final answer for %d", id)
+// checkAction checks an action against the rules and records it.
+func (c *ruleChecker) checkAction(index int, action Action) {
+	recordFinalAnswer := func(id RequestID, rejected bool) {
+		request := c.requests[id]
+		if request == nil || request.gateway != index || request.ended {
+			c.fail("got a final answer for request %d, which is unknown or has ended", id)
 		}
-		if k.now > r.due+k.set.AnswerGrace {
-			k.fail("request %d answered %v late", id, k.now-r.due)
+		if c.now > request.deadline+c.settings.AnswerGrace {
+			c.fail("request %d: got a final answer %v after its deadline, want at most %v", id,
+				c.now-request.deadline, c.settings.AnswerGrace)
 		}
-		for _, t := range r.tries {
-			if refusal && r.class.Effect != Safe && (t.open || !neverRan(t.result)) &&
-				(r.class.Effect == Unsafe || r.class.Scope != ScopeAll) {
-				k.fail("%s request %d refused though it may have run", r.class.Name, id)
+		for _, attempt := range request.attempts {
+			if rejected && request.class.Effect != Safe && (attempt.inFlight || !neverRan(attempt.result)) &&
+				(request.class.Effect == Unsafe || request.class.Scope != ScopeAll) {
+				c.fail("got a Reject of %s request %d, which may have run, want Fail", request.class.Name, id)
 			}
 		}
-		r.ended, r.endedAt = true, k.now
+		request.ended, request.endedAt = true, c.now
 	}
-	switch a := a.(type) {
+	switch action := action.(type) {
 	case Send:
-		k.seeSend(door, a)
+		c.checkSend(index, action)
 	case Reject:
-		final(a.Request, true)
+		recordFinalAnswer(action.Request, true)
 	case Fail:
-		final(a.Request, false)
+		recordFinalAnswer(action.Request, false)
 	case Cancel:
-		if r := k.requests[a.Request]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.tries) {
-			k.fail("an attempt never made called off: %+v", a)
+		if request := c.requests[action.Request]; request == nil || action.Attempt < 0 ||
+			action.Attempt >= len(request.attempts) {
+			c.fail("got a cancellation of an attempt that was not sent: %+v", action)
 		}
 	case SetTimer:
-		k.timers[door] = append(k.timers[door], pendingTimer{k.now + a.After, a.Token, k.lives[door]})
+		c.timers[index] = append(c.timers[index],
+			pendingTimer{c.now + action.After, action.Token, c.generations[index]})
 	}
 }
 
-func (k *checker) seeSend(door int, a Send) {
-	r := k.requests[a.Request]
-	if r == nil || r.door != door || r.ended {
-		k.fail("a send for request %d, which has ended", a.Request)
+// checkSend checks a send against the rules and records it.
+func (c *ruleChecker) checkSend(index int, send Send) {
+	request := c.requests[send.Request]
+	if request == nil || request.gateway != index || request.ended {
+		c.fail("got a send for request %d, which is unknown or has ended", send.Request)
 	}
-	b, known := k.told[door][a.Backend]
-	if !known || b.State != Ready {
-		k.fail("a send to backend %d, told to drain or gone", a.Backend)
+	backend, known := c.receivedBackends[index][send.Backend]
+	if !known || backend.State != Ready {
+		c.fail("got a send to backend %d, which is unknown, draining or gone", send.Backend)
 	}
-	if len(r.tries) >= k.set.MaxAttempts {
-		k.fail("too many attempts for request %d", a.Request)
+	if len(request.attempts) >= c.settings.MaxAttempts {
+		c.fail("got more than %d attempts for request %d", c.settings.MaxAttempts, send.Request)
 	}
-	for _, t := range r.tries {
-		if t.open && !k.set.ParallelAttempts {
-			k.fail("two attempts of request %d out together", a.Request)
+	for _, attempt := range request.attempts {
+		if attempt.inFlight && !c.settings.ParallelAttempts {
+			c.fail("got two attempts of request %d in flight at once, want one", send.Request)
 		}
-		if !t.open && neverRan(t.result) || r.class.Effect == Safe {
+		if !attempt.inFlight && neverRan(attempt.result) || request.class.Effect == Safe {
 			continue
 		}
-		o := k.told[door][t.backend]
-		if r.class.Effect == Unsafe || k.now-t.sent > r.class.DedupWindow ||
-			r.class.Scope == ScopeZone && o.Zone != b.Zone || r.class.Scope == ScopeCell && o.Cell != b.Cell {
-			k.fail("%s request %d sent again where it may run twice", r.class.Name, a.Request)
+		earlierBackend := c.receivedBackends[index][attempt.backend]
+		if request.class.Effect == Unsafe || c.now-attempt.sentAt > request.class.DedupWindow ||
+			request.class.Scope == ScopeZone && earlierBackend.Zone != backend.Zone ||
+			request.class.Scope == ScopeCell && earlierBackend.Cell != backend.Cell {
+			c.fail("got a repeat of %s request %d where it may run twice", request.class.Name, send.Request)
 		}
 	}
-	if p := k.plan(r.req.Plan); len(r.tries) == 0 && p.CeilingRate > 0 {
-		c := r.req.Customer
-		have, ok := k.ceiling[c]
+	if plan := c.plan(request.request.Plan); len(request.attempts) == 0 && plan.CeilingRate > 0 {
+		customer := request.request.Customer
+		level, ok := c.ceilingLevels[customer]
 		if !ok {
-			have = p.CeilingBurst
+			level = plan.CeilingBurst
 		}
-		have = min(p.CeilingBurst, have+p.CeilingRate*(k.now-k.ceilAt[c]).Seconds()) - r.req.Units
-		if k.ceiling[c], k.ceilAt[c] = have, k.now; have < -p.CeilingSlack {
-			k.fail("customer %d passes its ceiling: store at %v", c, have)
+		level = min(plan.CeilingBurst, level+plan.CeilingRate*(c.now-c.ceilingLevelAt[customer]).Seconds()) -
+			request.request.Units
+		if c.ceilingLevels[customer], c.ceilingLevelAt[customer] = level, c.now; level < -plan.CeilingSlack {
+			c.fail("customer %d: got level %v of the ceiling's bucket, want at least %v", customer, level,
+				-plan.CeilingSlack)
 		}
 	}
-	r.tries = append(r.tries, &seenTry{door: door, try: len(r.tries), backend: a.Backend, sent: k.now, open: true})
-	if b.Started > 0 && k.now-b.Started < k.set.WarmUpTime/2 {
-		k.cold[a.Backend] = append(k.cold[a.Backend], k.now)
-		in := 0
-		for _, at := range k.cold[a.Backend] {
-			in += boolToInt(k.now-at <= k.set.OverloadTime)
+	request.attempts = append(request.attempts, &recordedAttempt{gateway: index, index: len(request.attempts),
+		backend: send.Backend, sentAt: c.now, inFlight: true})
+	if backend.Started > 0 && c.now-backend.Started < c.settings.WarmUpTime/2 {
+		c.coldSendTimes[send.Backend] = append(c.coldSendTimes[send.Backend], c.now)
+		count := 0
+		for _, at := range c.coldSendTimes[send.Backend] {
+			count += boolToInt(c.now-at <= c.settings.OverloadTime)
 		}
-		// over all gateways, no more than what the gateways together may send to one warm backend, and one each
-		if most := len(k.doors) + int(1.5*arrivalsPerSecond/3); in > most {
-			k.fail("%d sends in %v to backend %d, which has just started; at most %d", in, k.set.OverloadTime, b.ID, most)
+		// All gateways together may send as much as to a warm backend, and one attempt each.
+		if limit := len(c.gateways) + int(1.5*minStepsPerSecond/3); count > limit {
+			c.fail("got %d sends in %v to backend %d, which has just started, want at most %d", count,
+				c.settings.OverloadTime, backend.ID, limit)
 		}
 	}
 }
 
-const arrivalsPerSecond = 60
+const minStepsPerSecond = 60 // least number of steps per second, most of which are requests
 
-func neverRan(res Result) bool { return res == Rejected || res == NoConnection || res == NotSent }
+// neverRan reports whether a result proves that the attempt did not run.
+func neverRan(result Result) bool {
+	return result == Rejected || result == NoConnection || result == NotSent
+}
 
-func (k *checker) plan(name string) Plan {
-	for _, p := range k.set.Plans {
-		if p.Name == name {
-			return p
+func (c *ruleChecker) plan(name string) Plan {
+	for _, plan := range c.settings.Plans {
+		if plan.Name == name {
+			return plan
 		}
 	}
 	return Plan{}
 }
 
-func (k *checker) start(door int) {
-	k.set.Index = door
-	g, err := New(k.set, k.rng.Uint64(), k.now)
+// start starts or restarts a gateway with no state but a saved list.
+func (c *ruleChecker) start(index int) {
+	c.settings.Index = index
+	gateway, err := New(c.settings, c.rng.Uint64(), c.now)
 	if err != nil {
-		k.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	k.doors[door] = g
-	k.lives[door]++
+	c.gateways[index] = gateway
+	c.generations[index]++
 	list := BackendList{Kind: ListSaved}
 	for id := BackendID(1); id < 100; id++ {
-		if b, ok := k.told[door][id]; ok && b.State != Gone {
-			list.Backends = append(list.Backends, b)
+		if backend, ok := c.receivedBackends[index][id]; ok && backend.State != Gone {
+			list.Backends = append(list.Backends, backend)
 		}
 	}
-	k.give(door, list)
+	c.handle(index, list)
 }
 
-func (k *checker) step() {
-	k.now += time.Duration(k.rng.IntN(int(2*second/arrivalsPerSecond/2))) + 1
-	for door := range k.doors {
-		keep := k.timers[door][:0:0]
+// step advances the clock, gives the gateways their timers and random outcomes, and then one random event.
+func (c *ruleChecker) step() {
+	c.now += time.Duration(c.rng.IntN(int(2*second/minStepsPerSecond/2))) + 1
+	for index := range c.gateways {
+		kept := c.timers[index][:0:0]
 		due := []pendingTimer{}
-		for _, t := range k.timers[door] {
-			if t.life != k.lives[door] {
+		for _, timer := range c.timers[index] {
+			if timer.generation != c.generations[index] {
 				continue
-			} else if t.at <= k.now {
-				due = append(due, t)
+			} else if timer.at <= c.now {
+				due = append(due, timer)
 			} else {
-				keep = append(keep, t)
+				kept = append(kept, timer)
 			}
 		}
-		k.timers[door] = keep
-		for _, t := range due {
-			k.give(door, Timer{Token: t.token})
+		c.timers[index] = kept
+		for _, timer := range due {
+			c.handle(index, Timer{Token: timer.token})
 		}
 	}
-	keep := k.order[:0]
-	for _, id := range k.order { // end attempts at random, and those whose client's time is up
-		r := k.requests[id]
-		for _, t := range r.tries {
-			if !t.open || k.rng.IntN(25) != 0 && k.now < r.due+200*ms && !r.ended {
+	kept := c.activeRequests[:0]
+	for _, id := range c.activeRequests { // ends attempts at random, and those of clients that have timed out
+		request := c.requests[id]
+		for _, attempt := range request.attempts {
+			if !attempt.inFlight || c.rng.IntN(25) != 0 && c.now < request.deadline+200*ms && !request.ended {
 				continue
 			}
-			res := Result(k.rng.IntN(int(Unknown) + 1))
-			if k.rng.IntN(20) != 0 {
-				res = Answered
+			result := Result(c.rng.IntN(int(Unknown) + 1))
+			if c.rng.IntN(20) != 0 {
+				result = Answered
 			}
-			if k.now >= r.due {
-				res = TimedOut
+			if c.now >= request.deadline {
+				result = TimedOut
 			}
-			if res == Answered && !r.ended {
-				r.ended, r.endedAt = true, k.now
+			if result == Answered && !request.ended {
+				request.ended, request.endedAt = true, c.now
 			}
-			t.open, t.result = false, res
-			k.give(r.door, Outcome{Request: id, Backend: t.backend, Attempt: t.try, Result: res, Duration: k.now - t.sent,
-				Final: r.ended, HasUsage: k.rng.IntN(2) == 0, UsagePercent: float64(k.rng.IntN(300))})
+			attempt.inFlight, attempt.result = false, result
+			c.handle(request.gateway, Outcome{Request: id, Backend: attempt.backend, Attempt: attempt.index,
+				Result: result, Duration: c.now - attempt.sentAt, Final: request.ended,
+				HasUsage: c.rng.IntN(2) == 0, UsagePercent: float64(c.rng.IntN(300))})
 		}
-		if !r.ended && k.now > r.due+k.set.AnswerGrace {
-			k.fail("request %d of class %s has no final answer %v after its deadline", id, r.class.Name, k.now-r.due)
+		if !request.ended && c.now > request.deadline+c.settings.AnswerGrace {
+			c.fail("request %d of class %s: got no final answer %v after its deadline, want one within %v", id,
+				request.class.Name, c.now-request.deadline, c.settings.AnswerGrace)
 		}
-		open := false
-		for _, t := range r.tries {
-			open = open || t.open
+		inFlight := false
+		for _, attempt := range request.attempts {
+			inFlight = inFlight || attempt.inFlight
 		}
-		if open || !r.ended {
-			keep = append(keep, id)
+		if inFlight || !request.ended {
+			kept = append(kept, id)
 		}
 	}
-	k.order = keep
-	switch door := k.rng.IntN(len(k.doors)); k.rng.IntN(60) {
-	case 0: // the gateway is killed and comes back; its requests are void
-		for _, id := range k.order {
-			if r := k.requests[id]; r.door == door {
-				r.ended = true
-				r.tries = nil
+	c.activeRequests = kept
+	switch index := c.rng.IntN(len(c.gateways)); c.rng.IntN(60) {
+	case 0: // the gateway restarts and loses its requests
+		for _, id := range c.activeRequests {
+			if request := c.requests[id]; request.gateway == index {
+				request.ended = true
+				request.attempts = nil
 			}
 		}
-		k.start(door)
-	case 1, 2: // a backend drains, goes, or starts
-		b := BackendInfo{ID: BackendID(1 + k.rng.IntN(8)), State: BackendState(k.rng.IntN(3)), Zone: "z"}
-		b.Cell = int(b.ID) % 2
-		b.Zone = fmt.Sprint("z", b.Cell)
-		if b.State == Ready {
-			b.Started = k.now
+		c.start(index)
+	case 1, 2: // a backend starts to drain, is removed, or starts
+		backend := BackendInfo{ID: BackendID(1 + c.rng.IntN(8)), State: BackendState(c.rng.IntN(3)), Zone: "z"}
+		backend.Cell = int(backend.ID) % 2
+		backend.Zone = fmt.Sprint("z", backend.Cell)
+		if backend.State == Ready {
+			backend.Started = c.now
 		}
-		for d := range k.doors {
-			k.told[d][b.ID] = b
-			k.give(d, BackendList{Kind: ListChanges, Backends: []BackendInfo{b}})
+		for i := range c.gateways {
+			c.receivedBackends[i][backend.ID] = backend
+			c.handle(i, BackendList{Kind: ListChanges, Backends: []BackendInfo{backend}})
 		}
-	case 3:
-		if len(k.order) > 0 {
-			id := k.order[k.rng.IntN(len(k.order))]
-			k.requests[id].ended = true
-			k.give(k.requests[id].door, ClientGone{Request: id})
+	case 3: // a client leaves
+		if len(c.activeRequests) > 0 {
+			id := c.activeRequests[c.rng.IntN(len(c.activeRequests))]
+			c.requests[id].ended = true
+			c.handle(c.requests[id].gateway, ClientGone{Request: id})
 		}
-	default:
-		k.next++
-		q := Request{ID: k.next, Customer: CustomerID(k.rng.IntN(6)), Units: 1,
-			Class: k.set.Classes[k.rng.IntN(len(k.set.Classes))].Name, GatewayCount: min(len(k.doors), 4), FirstGateway: len(k.doors) - 2}
-		q.Plan = k.set.Plans[int(q.Customer)%len(k.set.Plans)].Name
-		q.Timeout = second + time.Duration(k.rng.IntN(int(5*second)))
-		k.requests[q.ID] = &seenRequest{door: door, req: q, class: k.class(q.Class), due: k.now + q.Timeout}
-		k.order = append(k.order, q.ID)
-		k.give(door, q)
+	default: // a request arrives
+		c.lastRequestID++
+		newRequest := Request{ID: c.lastRequestID, Customer: CustomerID(c.rng.IntN(6)), Units: 1,
+			Class:        c.settings.Classes[c.rng.IntN(len(c.settings.Classes))].Name,
+			GatewayCount: min(len(c.gateways), 4), FirstGateway: len(c.gateways) - 2}
+		newRequest.Plan = c.settings.Plans[int(newRequest.Customer)%len(c.settings.Plans)].Name
+		newRequest.Timeout = second + time.Duration(c.rng.IntN(int(5*second)))
+		c.requests[newRequest.ID] = &recordedRequest{gateway: index, request: newRequest,
+			class: c.class(newRequest.Class), deadline: c.now + newRequest.Timeout}
+		c.activeRequests = append(c.activeRequests, newRequest.ID)
+		c.handle(index, newRequest)
 	}
 }
 
-func runChecker(t *testing.T, seed uint64, doors int, parallel bool, steps int) []string {
-	s := testSettings()
-	s.Gateways, s.ParallelAttempts, s.AnswerGrace = doors, parallel, 80*ms
-	k := &checker{t: t, set: s, rng: rand.New(rand.NewPCG(seed, 1)), now: 500 * second, doors: make([]*Gateway, doors),
-		lives: make([]int, doors), timers: make([][]pendingTimer, doors), requests: map[RequestID]*seenRequest{},
-		ceiling: map[CustomerID]float64{}, ceilAt: map[CustomerID]time.Duration{}, cold: map[BackendID][]time.Duration{}}
-	for d := range k.doors {
-		k.told = append(k.told, map[BackendID]BackendInfo{})
-		for _, b := range fleet(6) {
-			k.told[d][b.ID] = b
+// runRuleChecker checks a fleet of gateways over a number of steps and returns the log of the actions. Attempts of a
+// request may be in flight in parallel if parallel is set.
+func runRuleChecker(t *testing.T, seed uint64, gateways int, parallel bool, steps int) []string {
+	settings := testSettings()
+	settings.Gateways, settings.ParallelAttempts, settings.AnswerGrace = gateways, parallel, 80*ms
+	checker := &ruleChecker{t: t, settings: settings, rng: rand.New(rand.NewPCG(seed, 1)), now: 500 * second,
+		gateways: make([]*Gateway, gateways), generations: make([]int, gateways),
+		timers: make([][]pendingTimer, gateways), requests: map[RequestID]*recordedRequest{},
+		ceilingLevels: map[CustomerID]float64{}, ceilingLevelAt: map[CustomerID]time.Duration{},
+		coldSendTimes: map[BackendID][]time.Duration{}}
+	for index := range checker.gateways {
+		checker.receivedBackends = append(checker.receivedBackends, map[BackendID]BackendInfo{})
+		for _, backend := range testBackends(6) {
+			checker.receivedBackends[index][backend.ID] = backend
 		}
 	}
-	for d := range k.doors {
-		k.start(d)
+	for index := range checker.gateways {
+		checker.start(index)
 	}
 	for range steps {
-		k.step()
+		checker.step()
 	}
-	return k.log
+	return checker.actionLog
 }
 
-func TestRulesUnderRandomEvents(t *testing.T) {
+// The rules hold under random events in fleets of 3 and of 40 gateways.
+func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
-		sent, doors, least := 0, 3, 120
-		if seed > 8 { // many gateways, each of which sees a request or two a second; rules 4 and 5 are over all
-			doors, least = 40, 60
+		sent, gateways, minSent := 0, 3, 120
+		if seed > 8 { // many gateways with few requests each; the last two rules are over all of them
+			gateways, minSent = 40, 60
 		}
-		for _, l := range runChecker(t, seed, doors, seed%2 == 0, 15000) {
-			if strings.HasPrefix(l[min(2, len(l)):], "gateway.Send") {
+		for _, line := range runRuleChecker(t, seed, gateways, seed%2 == 0, 15000) {
+			if strings.HasPrefix(line[min(2, len(line)):], "gateway.Send") {
 				sent++
 			}
 		}
-		if sent < least {
-			t.Errorf("seed %d: only %d sends, too few to tell anything", seed, sent)
+		if sent < minSent {
+			t.Errorf("seed %d: got %d sends, want at least %d", seed, sent, minSent)
 		}
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
-	if a, b := runChecker(t, 5, 3, true, 2000), runChecker(t, 5, 3, true, 2000); !reflect.DeepEqual(a, b) {
-		t.Error("two runs over the same events differ")
+// Gateways with equal seeds and events return equal actions.
+func TestSameEventsGiveSameActions(t *testing.T) {
+	if a, b := runRuleChecker(t, 5, 3, true, 2000), runRuleChecker(t, 5, 3, true, 2000); !reflect.DeepEqual(a, b) {
+		t.Error("got different actions from two runs with the same seed, want the same actions")
 	}
 }
--- a/internal/gateway/quota_test.go
+++ b/internal/gateway/quota_test.go
@@ -7,15 +7,15 @@
 )
 
 // quotaRig has one customer of the plan "rated": 2 units a second, a burst of 4 units or 200 percent-seconds.
-func quotaRig(t *testing.T) (*rig, *customerState) {
-	r := newRig(t, testSettings(), fleet(2)...)
-	r.ask("safe", "rated", 5)
-	return r, r.g.customers[5]
+func quotaRig(t *testing.T) (*testGateway, *customerState) {
+	r := newTestGateway(t, testSettings(), testBackends(2)...)
+	r.submit("safe", "rated", 5)
+	return r, r.gateway.customers[5]
 }
 
-func (r *rig) reading(c *customerState, use float64) {
-	r.g.now = r.now
-	r.g.onReading(c, use)
+func (r *testGateway) reading(c *customerState, use float64) {
+	r.gateway.now = r.now
+	r.gateway.onReading(c, use)
 }
 
 func TestOneReadingCountsOnceAPeriod(t *testing.T) {
@@ -65,11 +65,11 @@
 
 // Readings come seconds late: a burst used to pass whole, at every gateway, before one told of it.
 func TestABurstIsHeldBeforeAnyReading(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(2)...)
+	r := newTestGateway(t, testSettings(), testBackends(2)...)
 	passed := 0
 	for range 20 {
-		_, as := r.ask("safe", "rated", 6)
-		passed += len(sends(as))
+		_, as := r.submit("safe", "rated", 6)
+		passed += len(sendActions(as))
 	}
 	if passed < 1 || passed > 2 { // the burst of 4 over two gateways
 		t.Errorf("%d of 20 passed at once, want 1 or 2", passed)
@@ -81,8 +81,8 @@
 	r, c := quotaRig(t)
 	r.now += second
 	c.meteredLevel, c.meteredUntil, c.passProbability, c.recentSends = 0, r.now, 1, nil
-	_, as := r.ask("safe", "rated", 5)
-	if len(sends(as)) != 0 {
+	_, as := r.submit("safe", "rated", 5)
+	if len(sendActions(as)) != 0 {
 		t.Error("passed with nothing in the store because f stood at 1")
 	}
 }
@@ -93,12 +93,12 @@
 	r.now += second
 	r.reading(c, 900)
 	for range 200 {
-		r.ask("safe", "rated", 5)
+		r.submit("safe", "rated", 5)
 	}
 	c.passProbability = 0.001
 	r.now += 8 * second
-	_, as := r.ask("safe", "rated", 5)
-	if len(sends(as)) != 1 {
+	_, as := r.submit("safe", "rated", 5)
+	if len(sendActions(as)) != 1 {
 		t.Error("still refused eight seconds later")
 	}
 	if got := len(c.recentSends); got > 10 {
@@ -108,21 +108,21 @@
 
 // The margin is a part of the burst: half a request used to bar the largest requests of small plans.
 func TestLargestRequestsPassAFullStore(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(2)...)
-	as := r.do(Request{ID: 900, Customer: 8, Class: "safe", Plan: "rated", Units: 3.5, Timeout: second, GatewayCount: 2})
-	if len(sends(as)) != 1 {
+	r := newTestGateway(t, testSettings(), testBackends(2)...)
+	as := r.handle(Request{ID: 900, Customer: 8, Class: "safe", Plan: "rated", Units: 3.5, Timeout: second, GatewayCount: 2})
+	if len(sendActions(as)) != 1 {
 		t.Error("a request of 3.5 units refused with a full store of 4")
 	}
 }
 
 func TestCustomerOfAPlanWithoutRate(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(2)...)
-	_, as := r.ask("safe", "open", 4)
-	c := r.g.customers[4]
+	r := newTestGateway(t, testSettings(), testBackends(2)...)
+	_, as := r.submit("safe", "open", 4)
+	c := r.gateway.customers[4]
 	r.now += second
 	r.reading(c, 400)
-	if len(sends(as)) != 1 || c.passProbability > 0.26 || time.Duration(c.meteredLevel) != 0 {
-		t.Errorf("sends %v, pass share %v, store %v", sends(as), c.passProbability, c.meteredLevel)
+	if len(sendActions(as)) != 1 || c.passProbability > 0.26 || time.Duration(c.meteredLevel) != 0 {
+		t.Errorf("sends %v, pass share %v, store %v", sendActions(as), c.passProbability, c.meteredLevel)
 	}
 }
 
@@ -145,15 +145,15 @@
 // Answers tell the meter's periods with jitter and out of order. However often readings differ, one period counts
 // once, and what was counted last ended before now.
 func TestReadingsOutOfOrderCountOncePerPeriod(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(2)...)
-	c := r.g.customerFor(Request{Customer: 1, Units: 1, GatewayCount: 1}, r.g.plans["rated"])
+	r := newTestGateway(t, testSettings(), testBackends(2)...)
+	c := r.gateway.customerFor(Request{Customer: 1, Units: 1, GatewayCount: 1}, r.gateway.plans["rated"])
 	start := r.now
 	counted := 0
 	for i := range 400 {
 		r.now += 50 * ms
-		r.g.now = r.now
+		r.gateway.now = r.now
 		before := c.meteredTime
-		r.g.onReading(c, float64(40+i%2))
+		r.gateway.onReading(c, float64(40+i%2))
 		if c.meteredTime != before {
 			counted++
 		}
@@ -173,22 +173,22 @@
 	const doors = 40
 	s := testSettings()
 	s.Gateways = doors
-	rigs := make([]*rig, doors)
+	rigs := make([]*testGateway, doors)
 	for i := range rigs {
 		s.Index = i
-		rigs[i] = newRig(t, s, fleet(2)...)
+		rigs[i] = newTestGateway(t, s, testBackends(2)...)
 	}
 	asked, let := 0, 0
 	for n := range 300 {
 		r := rigs[n%doors]
 		r.now = 1000*second + time.Duration(n)*100*ms
-		r.next++
-		as := r.do(Request{ID: r.next, Customer: 5, Class: "safe", Plan: "rated", Units: 1, Timeout: second, GatewayCount: doors})
+		r.lastRequestID++
+		as := r.handle(Request{ID: r.lastRequestID, Customer: 5, Class: "safe", Plan: "rated", Units: 1, Timeout: second, GatewayCount: doors})
 		if n >= 50 {
-			asked, let = asked+1, let+len(sends(as))
+			asked, let = asked+1, let+len(sendActions(as))
 		}
-		for _, a := range sends(as) {
-			r.do(Outcome{Request: a.Request, Backend: a.Backend, Duration: 50 * ms, Final: true, HasUsage: use >= 0, UsagePercent: use})
+		for _, a := range sendActions(as) {
+			r.handle(Outcome{Request: a.Request, Backend: a.Backend, Duration: 50 * ms, Final: true, HasUsage: use >= 0, UsagePercent: use})
 		}
 	}
 	return float64(let) / float64(asked)
@@ -200,9 +200,9 @@
 	for doors, least := range map[int]float64{2: 0, 40: 150} {
 		s := testSettings()
 		s.Gateways = doors
-		r := newRig(t, s, fleet(2)...)
-		r.do(Request{ID: 1, Customer: 5, Class: "safe", Plan: "rated", Units: 1, Timeout: second, GatewayCount: doors})
-		c := r.g.customers[5]
+		r := newTestGateway(t, s, testBackends(2)...)
+		r.handle(Request{ID: 1, Customer: 5, Class: "safe", Plan: "rated", Units: 1, Timeout: second, GatewayCount: doors})
+		c := r.gateway.customers[5]
 		steady, each := c.otherUse(r.now)
 		if use := steady + each*priorUsePercent; use < least || doors == 2 && use > 60 {
 			t.Errorf("%d doors: the others are taken to use %.0f in 100 of the rate", doors, use)
--- a/internal/gateway/reserves_test.go
+++ b/internal/gateway/reserves_test.go
@@ -5,27 +5,27 @@
 )
 
 func TestTierBoundaryIsTheRecentMedian(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(1)...)
+	r := newTestGateway(t, testSettings(), testBackends(1)...)
 	for range medianWindow {
-		r.g.isHighValue(3)
+		r.gateway.isHighValue(3)
 	}
 	r.now += second
-	r.do(Timer{Token: 0})
-	if r.g.isHighValue(3) || r.g.isHighValue(1) || !r.g.isHighValue(5) {
+	r.handle(Timer{Token: 0})
+	if r.gateway.isHighValue(3) || r.gateway.isHighValue(1) || !r.gateway.isHighValue(5) {
 		t.Error("high is what tops the recent median, a tie is low")
 	}
 	for range medianWindow {
-		r.g.isHighValue(9)
+		r.gateway.isHighValue(9)
 	}
-	r.do(Timer{Token: 0})
-	if r.g.isHighValue(5) || len(r.g.recentValues) != medianWindow {
-		t.Errorf("the median does not follow, or %d worths are kept", len(r.g.recentValues))
+	r.handle(Timer{Token: 0})
+	if r.gateway.isHighValue(5) || len(r.gateway.recentValues) != medianWindow {
+		t.Errorf("the median does not follow, or %d worths are kept", len(r.gateway.recentValues))
 	}
 }
 
 func TestOwnReserveThenPoolThenSubrating(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(1)...)
-	g := r.g
+	r := newTestGateway(t, testSettings(), testBackends(1)...)
+	g := r.gateway
 	g.concurrencyLimit, g.partitionSize = 5*minExactSlots, [3]float64{1 * minExactSlots, 1 * minExactSlots, 3 * minExactSlots}
 	for range int(minExactSlots) - 1 { // all but the last slot of each reserve, and of the pool all but three by marked ones
 		g.inUse[highReserve]++
@@ -66,8 +66,8 @@
 }
 
 func TestShrunkReserveTakesNoneUntilItDrains(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(1)...)
-	g := r.g
+	r := newTestGateway(t, testSettings(), testBackends(1)...)
+	g := r.gateway
 	g.concurrencyLimit = 2 * minExactSlots
 	g.inUse[highReserve] = 2*minExactSlots - 2
 	g.partitionSize = [3]float64{2 * minExactSlots, 0, 0}
@@ -86,8 +86,8 @@
 
 // A part of less than a slot is not shut for good: it is held on average.
 func TestASmallPartIsHeldOnAverage(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(4)...)
-	g := r.g
+	r := newTestGateway(t, testSettings(), testBackends(4)...)
+	g := r.gateway
 	g.concurrencyLimit, g.minLatency = 0.4, 0.1
 	g.partitionSize = [3]float64{0, 0, g.concurrencyLimit}
 	g.meanInUseAt = r.now
--- a/internal/gateway/selection_test.go
+++ b/internal/gateway/selection_test.go
@@ -8,17 +8,17 @@
 )
 
 func TestDrainAndRemovalStopSendsAtOnce(t *testing.T) {
-	two := fleet(2)
+	two := testBackends(2)
 	for name, list := range map[string]BackendList{
 		"drains":           {Kind: ListChanges, Backends: []BackendInfo{{ID: 1, State: Draining}}},
 		"gone":             {Kind: ListChanges, Backends: []BackendInfo{{ID: 1, State: Gone}}},
 		"not in full list": {Kind: ListFull, Backends: two[1:]},
 	} {
-		r := newRig(t, testSettings(), two...)
-		r.do(list)
+		r := newTestGateway(t, testSettings(), two...)
+		r.handle(list)
 		for i := range 20 {
-			_, as := r.ask("safe", "wide", CustomerID(i))
-			if got := sends(as); len(got) != 1 || got[0].Backend != 2 {
+			_, as := r.submit("safe", "wide", CustomerID(i))
+			if got := sendActions(as); len(got) != 1 || got[0].Backend != 2 {
 				t.Fatalf("%s: sends %v", name, got)
 			}
 		}
@@ -31,15 +31,15 @@
 		rate      float64
 		low, high int
 	}{{2, 4, 8}, {1000, 60, 100}} {
-		r := newRig(t, testSettings(), fleet(100)...)
-		r.g.sendRate = c.rate
+		r := newTestGateway(t, testSettings(), testBackends(100)...)
+		r.gateway.sendRate = c.rate
 		met := map[BackendID]bool{}
 		for i := range 400 {
-			id, as := r.ask("safe", "wide", CustomerID(i))
-			for _, s := range sends(as) {
+			id, as := r.submit("safe", "wide", CustomerID(i))
+			for _, s := range sendActions(as) {
 				met[s.Backend] = true
 				r.now += ms
-				r.outcome(id, s.Backend, 0, Answered)
+				r.endAttempt(id, s.Backend, 0, Answered)
 			}
 		}
 		if len(met) < c.low || len(met) > c.high {
@@ -49,14 +49,14 @@
 }
 
 func TestColdBackendIsRampedUp(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(3)...)
-	r.g.sendRate = 30
-	r.do(BackendList{Kind: ListChanges, Backends: []BackendInfo{{ID: 9, Started: r.now}}})
+	r := newTestGateway(t, testSettings(), testBackends(3)...)
+	r.gateway.sendRate = 30
+	r.handle(BackendList{Kind: ListChanges, Backends: []BackendInfo{{ID: 9, Started: r.now}}})
 	cold := 0
 	for i := range 60 { // a heavy second: 60 requests
 		r.now += second / 60
-		_, as := r.ask("safe", "wide", CustomerID(i))
-		for _, s := range sends(as) {
+		_, as := r.submit("safe", "wide", CustomerID(i))
+		for _, s := range sendActions(as) {
 			if s.Backend == 9 {
 				cold++
 			}
@@ -68,20 +68,20 @@
 }
 
 func TestSilentBackendLosesTraffic(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(4)...)
+	r := newTestGateway(t, testSettings(), testBackends(4)...)
 	last := 0
 	for i := range 400 {
 		r.now += 20 * ms
-		id, as := r.ask("safe", "wide", CustomerID(i))
-		for n, s := range sends(as) {
+		id, as := r.submit("safe", "wide", CustomerID(i))
+		for n, s := range sendActions(as) {
 			if s.Backend == 1 {
 				last = i
 				continue // it never answers
 			}
-			r.outcome(id, s.Backend, n, Answered)
+			r.endAttempt(id, s.Backend, n, Answered)
 		}
 	}
-	if last > 150 || r.g.ranking.Len() != 4 {
+	if last > 150 || r.gateway.ranking.Len() != 4 {
 		t.Errorf("the silent backend still got request %d", last)
 	}
 }
@@ -92,18 +92,18 @@
 		owed, slow  float64
 		least, most int // half seconds until it is tried again
 	}{{8, 1, 2, 8}, {1, 8, 2, 30}, {75, 9, 4, 30}} {
-		r := newRig(t, testSettings(), fleet(2)...)
-		b := r.g.backends[1]
-		b.overdue, b.slowness, r.g.classes["safe"].meanLatency = c.owed, c.slow, 0.1
+		r := newTestGateway(t, testSettings(), testBackends(2)...)
+		b := r.gateway.backends[1]
+		b.overdue, b.slowness, r.gateway.classes["safe"].meanLatency = c.owed, c.slow, 0.1
 		n := 0
 		for to := BackendID(2); to != 1; n++ {
 			if n > c.most {
 				t.Fatalf("owing %v and %v times as slow, it is not tried again", c.owed, c.slow)
 			}
 			r.now += 500 * ms
-			id, as := r.ask("safe", "wide", CustomerID(n))
-			to = sends(as)[0].Backend
-			r.outcome(id, to, 0, Answered)
+			id, as := r.submit("safe", "wide", CustomerID(n))
+			to = sendActions(as)[0].Backend
+			r.endAttempt(id, to, 0, Answered)
 		}
 		if n < c.least {
 			t.Errorf("owing %v and %v times as slow, it was tried again at request %d", c.owed, c.slow, n)
@@ -117,26 +117,26 @@
 	const doors, backends, replaced, everyMS, length = 40, 20, 12, 200, 4 * second
 	s := testSettings()
 	s.Gateways = doors
-	infos := fleet(backends)
+	infos := testBackends(backends)
 	sent := [2]int{} // to warm and to cold ones
 	for door := range doors {
 		s.Index = door
-		r := newRig(t, s, infos...)
-		r.g.rng = rand.New(rand.NewPCG(uint64(door), 3))
+		r := newTestGateway(t, s, infos...)
+		r.gateway.rng = rand.New(rand.NewPCG(uint64(door), 3))
 		ticked := r.now
 		run := func(length time.Duration, count bool) {
 			for end := r.now + length; r.now < end; r.now += everyMS * ms {
 				if r.now-ticked >= second {
 					ticked = r.now
-					r.do(Timer{})
+					r.handle(Timer{})
 				}
-				id, as := r.ask("safe", "wide", 1)
-				for _, a := range sends(as) {
+				id, as := r.submit("safe", "wide", 1)
+				for _, a := range sendActions(as) {
 					if count {
 						sent[boolToInt(a.Backend <= replaced)]++
 					}
 					r.now += 50 * ms
-					r.outcome(id, a.Backend, 0, Answered)
+					r.endAttempt(id, a.Backend, 0, Answered)
 				}
 			}
 		}
@@ -145,7 +145,7 @@
 		for i := range fresh {
 			fresh[i].Started = r.now
 		}
-		r.do(BackendList{Kind: ListChanges, Backends: fresh})
+		r.handle(BackendList{Kind: ListChanges, Backends: fresh})
 		run(length, true)
 	}
 	share := float64(sent[1]) / float64(sent[0]+sent[1])
--- a/internal/gateway/staleness_test.go
+++ b/internal/gateway/staleness_test.go
@@ -15,9 +15,9 @@
 }
 
 // sendTo asks until the module sends something, and gives the request and its backend; 0: it refused all of them.
-func (r *rig) sendTo() (RequestID, BackendID) {
-	id, as := r.ask("safe", "wide", CustomerID(r.next%50))
-	if s := sends(as); len(s) > 0 {
+func (r *testGateway) sendTo() (RequestID, BackendID) {
+	id, as := r.submit("safe", "wide", CustomerID(r.lastRequestID%50))
+	if s := sendActions(as); len(s) > 0 {
 		return id, s[0].Backend
 	}
 	return id, 0
@@ -25,7 +25,7 @@
 
 // Without a lease the list that was saved is gone by, however old.
 func TestListsWithoutALease(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(3)...)
+	r := newTestGateway(t, testSettings(), testBackends(3)...)
 	r.now += time.Hour
 	if _, b := r.sendTo(); b == 0 {
 		t.Error("refused")
@@ -36,9 +36,9 @@
 // a time to come again. The first word of discovery, also that nothing has changed, makes it good.
 func TestASavedListVouchesForNobody(t *testing.T) {
 	for _, kind := range []ListKind{ListFull, ListChanges} {
-		r := newRig(t, leased(), fleet(3)...)
-		_, as := r.ask("safe", "wide", 1)
-		if n, _ := finals(as); n != 1 || len(sends(as)) != 0 {
+		r := newTestGateway(t, leased(), testBackends(3)...)
+		_, as := r.submit("safe", "wide", 1)
+		if n, _ := countFinalAnswers(as); n != 1 || len(sendActions(as)) != 0 {
 			t.Fatalf("by a saved list: %v", as)
 		}
 		for _, a := range as {
@@ -46,15 +46,15 @@
 				t.Errorf("refused with no time to come again: %+v", refusal)
 			}
 		}
-		r.do(BackendList{Kind: ListFailed})
+		r.handle(BackendList{Kind: ListFailed})
 		if _, b := r.sendTo(); b != 0 {
 			t.Error("sent after a failed ask")
 		}
 		list := BackendList{Kind: kind}
 		if kind == ListFull {
-			list.Backends = fleet(3)
+			list.Backends = testBackends(3)
 		}
-		r.do(list)
+		r.handle(list)
 		if _, b := r.sendTo(); b == 0 {
 			t.Errorf("refused after a list of kind %d", kind)
 		}
@@ -63,9 +63,9 @@
 
 // A confirmed list is good for its lease, and each confirmation starts that anew.
 func TestTheLeaseOfAList(t *testing.T) {
-	r := newRig(t, leased(), fleet(3)...)
+	r := newTestGateway(t, leased(), testBackends(3)...)
 	for range 5 {
-		r.do(BackendList{Kind: ListChanges})
+		r.handle(BackendList{Kind: ListChanges})
 		r.now += lease - ms
 		if _, b := r.sendTo(); b == 0 {
 			t.Fatal("refused within the lease")
@@ -79,19 +79,19 @@
 
 // When the list's lease is over, an answer vouches for its backend alone, for a share of the lease from its send on.
 func TestAnAnswerVouchesForItsBackend(t *testing.T) {
-	r := newRig(t, leased(), fleet(5)...)
-	r.do(BackendList{Kind: ListChanges})
+	r := newTestGateway(t, leased(), testBackends(5)...)
+	r.handle(BackendList{Kind: ListChanges})
 	r.now += lease - ms
 	id, b := r.sendTo()
 	sent := r.now
 	r.now += 100 * ms
-	r.outcome(id, b, 0, Answered)
+	r.endAttempt(id, b, 0, Answered)
 	for r.now < sent+seconds(answerLeaseShare*lease.Seconds())-ms {
 		id, other := r.sendTo()
 		if other != b {
 			t.Fatalf("sent to %d, only %d was vouched for", other, b)
 		}
-		r.outcome(id, other, 0, AnsweredError)
+		r.endAttempt(id, other, 0, AnsweredError)
 		r.now += 50 * ms
 	}
 	r.now = sent + seconds(answerLeaseShare*lease.Seconds())
@@ -102,19 +102,19 @@
 
 // A backend that turns a request away may drain: without a list it is not sent to again.
 func TestARefusalEndsWhatAnAnswerVouchedFor(t *testing.T) {
-	r := newRig(t, leased(), fleet(5)...)
-	r.do(BackendList{Kind: ListChanges})
+	r := newTestGateway(t, leased(), testBackends(5)...)
+	r.handle(BackendList{Kind: ListChanges})
 	r.now += lease - ms
 	id, b := r.sendTo()
 	r.now += 100 * ms
-	r.outcome(id, b, 0, Answered)
+	r.endAttempt(id, b, 0, Answered)
 	id, _ = r.sendTo()
-	r.outcome(id, b, 0, Rejected)
+	r.endAttempt(id, b, 0, Rejected)
 	r.now += second
 	if _, other := r.sendTo(); other != 0 {
 		t.Errorf("sent to %d", other)
 	}
-	r.do(BackendList{Kind: ListChanges})
+	r.handle(BackendList{Kind: ListChanges})
 	if _, other := r.sendTo(); other == 0 {
 		t.Error("refused although the list is good again")
 	}
@@ -125,7 +125,7 @@
 func TestNothingIsSentByAStaleList(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		r := newRig(t, leased(), fleet(20)...)
+		r := newTestGateway(t, leased(), testBackends(20)...)
 		type out struct {
 			id  RequestID
 			b   BackendID
@@ -137,7 +137,7 @@
 		listed, good := time.Duration(0), map[BackendID]time.Duration{}
 		sent, stale := 0, 0
 		see := func(as []Action) {
-			for _, s := range sends(as) {
+			for _, s := range sendActions(as) {
 				if r.now >= max(listed, good[s.Backend]) {
 					t.Fatalf("seed %d: sent to %d at %v, the list was good until %v, its answers until %v", seed,
 						s.Backend, r.now, listed, good[s.Backend])
@@ -155,14 +155,14 @@
 			switch x := rng.Float64(); {
 			case x < 0.001:
 				listed = r.now + lease
-				see(r.do(BackendList{Kind: ListChanges}))
+				see(r.handle(BackendList{Kind: ListChanges}))
 			case x < 0.003:
-				see(r.do(BackendList{Kind: ListFailed}))
+				see(r.handle(BackendList{Kind: ListFailed}))
 			case x < 0.5:
-				_, as := r.ask("safe", "wide", CustomerID(rng.IntN(50)))
+				_, as := r.submit("safe", "wide", CustomerID(rng.IntN(50)))
 				see(as)
 			case x < 0.52:
-				see(r.do(Timer{}))
+				see(r.handle(Timer{}))
 			case len(open) > 0:
 				i := rng.IntN(len(open))
 				o := open[i]
@@ -174,7 +174,7 @@
 				case Rejected:
 					good[o.b] = 0
 				}
-				see(r.outcome(o.id, o.b, o.try, result))
+				see(r.endAttempt(o.id, o.b, o.try, result))
 			}
 		}
 		if sent < 1000 || stale < 100 {
