--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -5,71 +5,77 @@
 	"time"
 )
 
-func refusal(as []Action) (r Reject, ok bool) {
-	for _, a := range as {
-		if r, ok = a.(Reject); ok {
-			return r, true
+// firstReject returns the first Reject among the actions and whether there is one.
+func firstReject(actions []Action) (reject Reject, ok bool) {
+	for _, action := range actions {
+		if reject, ok = action.(Reject); ok {
+			return reject, true
 		}
 	}
-	return r, false
+	return reject, false
 }
 
-// A refusal without a time to come back invites the next try at once, which would be refused as well.
-func TestEveryRefusalSaysWhenToComeBack(t *testing.T) {
-	for plan, why := range map[string]string{"rated": "quota", "capped": "ceiling", "open": "attempts out"} {
-		r := newRig(t, testSettings(), fleet(2)...)
-		r.now += second // fills some of the ceiling's part
-		refused := 0
+// A client that gets a rejection without Retry-After retries at once, and that retry is rejected as well.
+func TestEveryRejectionHasARetryAfter(t *testing.T) {
+	for plan, reason := range map[string]string{
+		"rated": "quota", "capped": "ceiling", "open": "limit on attempts in flight",
+	} {
+		tg := newRig(t, testSettings(), fleet(2)...)
+		tg.now += second // partly fills this gateway's share of the ceiling's token bucket
+		rejected := 0
 		for range 50 {
-			_, as := r.ask("safe", plan, 5)
-			if f, ok := refusal(as); ok {
-				refused++
-				if f.RetryAfter <= 0 || f.RetryAfter > r.g.settings.MaxRetryAfter {
-					t.Fatalf("%s: told to come back after %v", why, f.RetryAfter)
+			_, actions := tg.ask("safe", plan, 5)
+			if reject, ok := firstReject(actions); ok {
+				rejected++
+				if reject.RetryAfter <= 0 || reject.RetryAfter > tg.g.settings.MaxRetryAfter {
+					t.Fatalf("%s: got RetryAfter %v, want more than 0 and at most MaxRetryAfter",
+						reason, reject.RetryAfter)
 				}
 			}
 		}
-		if refused == 0 {
-			t.Errorf("%s: nothing was refused", why)
+		if rejected == 0 {
+			t.Errorf("%s: got no rejections of 50 requests, want some", reason)
 		}
 	}
-	r := newRig(t, testSettings())
-	if f, ok := refusal(actionsOf(r.ask("safe", "wide", 5))); !ok || f.RetryAfter <= 0 {
-		t.Errorf("without backends: refused %v, told %v", ok, f.RetryAfter)
+	tg := newRig(t, testSettings())
+	if reject, ok := firstReject(actionsOf(tg.ask("safe", "wide", 5))); !ok || reject.RetryAfter <= 0 {
+		t.Errorf("no backends: got rejected %v, RetryAfter %v, want true and more than 0", ok, reject.RetryAfter)
 	}
 }
 
-func actionsOf(_ RequestID, as []Action) []Action { return as }
+// actionsOf returns the second of its arguments, the actions that follow a request.
+func actionsOf(_ RequestID, actions []Action) []Action { return actions }
 
-// The time told is when the customer's token bucket will hold the units: a client that keeps to it is let in then,
-// and not long before.
-func TestAdviceIsWhenTheQuotaHasRoom(t *testing.T) {
+// RetryAfter is the time in which the customer's token bucket refills to the units of the request: a client that waits
+// for it is admitted then, and would not have been much earlier.
+func TestRetryAfterIsTheRefillTimeOfTheTokenBucket(t *testing.T) {
 	for _, plan := range []string{"rated", "capped"} {
-		s := testSettings()
-		s.MaxRetryAfter = time.Minute
-		r := newRig(t, s, fleet(2)...)
-		r.now += second
-		var told time.Duration
+		settings := testSettings()
+		settings.MaxRetryAfter = time.Minute
+		tg := newRig(t, settings, fleet(2)...)
+		tg.now += second
+		var retryAfter time.Duration
 		for range 100 {
-			id, as := r.ask("safe", plan, 5)
-			if f, ok := refusal(as); ok {
-				told = f.RetryAfter
+			id, actions := tg.ask("safe", plan, 5)
+			if reject, ok := firstReject(actions); ok {
+				retryAfter = reject.RetryAfter
 				break
 			} else {
-				r.outcome(id, sends(as)[0].Backend, 0, Answered)
+				tg.outcome(id, sends(actions)[0].Backend, 0, Answered)
 			}
 		}
-		if told <= 0 {
-			t.Fatalf("%s: no refusal with a time among 100 requests", plan)
+		if retryAfter <= 0 {
+			t.Fatalf("%s: got no rejection with a RetryAfter among 100 requests, want one", plan)
 		}
-		from := r.now
-		r.now = from + told/2
-		if _, early := refusal(actionsOf(r.ask("safe", plan, 5))); !early {
-			t.Errorf("%s: let in after half of the %v told", plan, told)
+		rejectedAt := tg.now
+		tg.now = rejectedAt + retryAfter/2
+		if _, rejected := firstReject(actionsOf(tg.ask("safe", plan, 5))); !rejected {
+			t.Errorf("%s: request admitted after half of the RetryAfter of %v, want it rejected", plan, retryAfter)
 		}
-		r.now = from + told + ms
-		if f, late := refusal(actionsOf(r.ask("safe", plan, 5))); late {
-			t.Errorf("%s: refused again after the %v told, now told %v", plan, told, f.RetryAfter)
+		tg.now = rejectedAt + retryAfter + ms
+		if reject, rejected := firstReject(actionsOf(tg.ask("safe", plan, 5))); rejected {
+			t.Errorf("%s: request rejected after the RetryAfter of %v, with a further one of %v; want it admitted",
+				plan, retryAfter, reject.RetryAfter)
 		}
 	}
 }
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-func TestRetriesByEffect(t *testing.T) {
-	for _, c := range []struct {
-		class           string
-		first           Result
-		wait            time.Duration
-		resend          bool
-		refused, failed int
+func TestRetriesDependOnTheEffect(t *testing.T) {
+	for _, test := range []struct {
+		class                  string
+		result                 Result // of the first attempt
+		delay                  time.Duration
+		wantRetry              bool
+		wantRejects, wantFails int
 	}{
 		{"safe", TimedOut, 0, true, 0, 0},
 		{"once", Rejected, 0, true, 0, 0},
@@ -20,113 +20,121 @@
 		{"once", AnsweredError, 0, false, 0, 1},
 		{"once", Unknown, 0, false, 0, 1},
 		{"keyed", ConnectionBroken, 0, true, 0, 0},
-		{"keyed", ConnectionBroken, 4 * second, false, 0, 1},
-		{"celled", ConnectionBroken, 0, false, 0, 1}, // the other backend is in another cell
-		{"zoned", ConnectionBroken, 0, false, 0, 1},
+		{"keyed", ConnectionBroken, 4 * second, false, 0, 1}, // after the class's DedupWindow
+		{"celled", ConnectionBroken, 0, false, 0, 1},         // the other backend is in another cell
+		{"zoned", ConnectionBroken, 0, false, 0, 1},          // and in another zone
 		{"celled", Rejected, 0, true, 0, 0},
 	} {
-		r := newRig(t, testSettings(), fleet(2)...)
-		id, as := r.ask(c.class, "wide", 1)
-		first := sends(as)[0]
-		r.now += c.wait
-		as = r.outcome(id, first.Backend, 0, c.first)
-		refused, failed := finals(as)
-		if got := sends(as); (len(got) == 1) != c.resend || refused != c.refused || failed != c.failed {
-			t.Errorf("%s after %d: sends %v, refused %d, failed %d", c.class, c.first, got, refused, failed)
+		tg := newRig(t, testSettings(), fleet(2)...)
+		id, actions := tg.ask(test.class, "wide", 1)
+		first := sends(actions)[0]
+		tg.now += test.delay
+		actions = tg.outcome(id, first.Backend, 0, test.result)
+		rejects, fails := finals(actions)
+		if got := sends(actions); (len(got) == 1) != test.wantRetry || rejects != test.wantRejects ||
+			fails != test.wantFails {
+			t.Errorf("%s after result %d: got sends %v, %d rejections and %d failures, want those of the case",
+				test.class, test.result, got, rejects, fails)
 		}
-		if held(r.g) != boolToInt(c.resend) {
-			t.Errorf("%s: %d slots held", c.class, held(r.g))
+		if held(tg.g) != boolToInt(test.wantRetry) {
+			t.Errorf("%s: got %d slots in use, want one only if there is a retry", test.class, held(tg.g))
 		}
 	}
 }
 
-// A keyed request's repeat must begin while the backends remember its key, also if its connection takes long to
-// come up. What never ran left no key behind.
-func TestKeyedRepeatsSayByWhenTheyMustBegin(t *testing.T) {
-	for _, c := range []struct {
-		class  string
-		first  Result
-		within bool
+// A retry of a Deduplicated request must start while the backends remember its key, even if its connection takes long
+// to establish. An attempt that never ran left no key behind, so there is no limit on its retry.
+func TestRetriesOfDeduplicatedRequestsMustStartInTime(t *testing.T) {
+	for _, test := range []struct {
+		class       string
+		result      Result // of the first attempt
+		wantLimited bool
 	}{{"keyed", ConnectionBroken, true}, {"keyed", NoConnection, false}, {"safe", ConnectionBroken, false}} {
-		s := testSettings()
-		s.AnswerGrace = 8 * ms
-		r := newRig(t, s, fleet(2)...)
-		id, as := r.ask(c.class, "wide", 1)
-		if first := sends(as)[0]; first.StartWithin != 0 {
-			t.Errorf("%s: a first attempt within %v", c.class, first.StartWithin)
+		settings := testSettings()
+		settings.AnswerGrace = 8 * ms
+		tg := newRig(t, settings, fleet(2)...)
+		id, actions := tg.ask(test.class, "wide", 1)
+		if first := sends(actions)[0]; first.StartWithin != 0 {
+			t.Errorf("%s: got StartWithin %v for the first attempt, want 0", test.class, first.StartWithin)
 		}
-		r.now += second
-		as = r.outcome(id, sends(as)[0].Backend, 0, c.first)
-		want := time.Duration(boolToInt(c.within)) * (r.g.classes[c.class].DedupWindow - second - 8*ms)
-		if got := sends(as); len(got) != 1 || got[0].StartWithin != want {
-			t.Errorf("%s after %d: %+v, want it within %v", c.class, c.first, got, want)
+		tg.now += second
+		actions = tg.outcome(id, sends(actions)[0].Backend, 0, test.result)
+		want := time.Duration(boolToInt(test.wantLimited)) *
+			(tg.g.classes[test.class].DedupWindow - second - 8*ms)
+		if got := sends(actions); len(got) != 1 || got[0].StartWithin != want {
+			t.Errorf("%s, first attempt ended with result %d: got sends %+v, want one with StartWithin %v",
+				test.class, test.result, got, want)
 		}
 	}
 }
 
-// However many attempts the settings allow, three are made at most.
-func TestThreeAttemptsAtMost(t *testing.T) {
-	s := testSettings()
-	s.MaxAttempts = 5
-	r := newRig(t, s, fleet(9)...)
-	id, as := r.ask("safe", "wide", 1)
-	for n := range 3 {
-		if len(sends(as)) != 1 {
-			t.Fatalf("attempt %d: %v", n, as)
+// At most three attempts are made, even if the settings allow more.
+func TestAtMostThreeAttemptsAreMade(t *testing.T) {
+	settings := testSettings()
+	settings.MaxAttempts = 5
+	tg := newRig(t, settings, fleet(9)...)
+	id, actions := tg.ask("safe", "wide", 1)
+	for attempt := range 3 {
+		if len(sends(actions)) != 1 {
+			t.Fatalf("attempt %d: got %v, want one send", attempt, actions)
 		}
-		as = r.outcome(id, sends(as)[0].Backend, n, AnsweredError)
+		actions = tg.outcome(id, sends(actions)[0].Backend, attempt, AnsweredError)
 	}
-	if n, _ := finals(as); n != 1 || len(sends(as)) != 0 {
-		t.Errorf("after the third: %v", as)
+	if rejects, _ := finals(actions); rejects != 1 || len(sends(actions)) != 0 {
+		t.Errorf("after the third attempt: got %v, want a rejection and no send", actions)
 	}
 }
 
-func TestAttemptLimitAndTooLate(t *testing.T) {
-	s := testSettings()
-	s.MaxAttempts = 2
-	r := newRig(t, s, fleet(3)...)
-	id, as := r.ask("safe", "wide", 1)
-	as = r.outcome(id, sends(as)[0].Backend, 0, AnsweredError)
-	as = r.outcome(id, sends(as)[0].Backend, 1, AnsweredError)
-	if n, _ := finals(as); n != 1 || len(sends(as)) != 0 {
-		t.Errorf("after the last attempt: %v", as)
+func TestNoRetryBeyondMaxAttemptsOrTooLate(t *testing.T) {
+	settings := testSettings()
+	settings.MaxAttempts = 2
+	tg := newRig(t, settings, fleet(3)...)
+	id, actions := tg.ask("safe", "wide", 1)
+	actions = tg.outcome(id, sends(actions)[0].Backend, 0, AnsweredError)
+	actions = tg.outcome(id, sends(actions)[0].Backend, 1, AnsweredError)
+	if rejects, _ := finals(actions); rejects != 1 || len(sends(actions)) != 0 {
+		t.Errorf("after the last attempt: got %v, want a rejection and no send", actions)
 	}
-	id, as = r.ask("safe", "wide", 1)
-	r.now += 6*second - 10*ms
-	as = r.outcome(id, sends(as)[0].Backend, 0, AnsweredError)
-	if n, _ := finals(as); n != 1 || len(sends(as)) != 0 {
-		t.Errorf("a retry that cannot be answered in time: %v", as)
+	id, actions = tg.ask("safe", "wide", 1)
+	tg.now += 6*second - 10*ms
+	actions = tg.outcome(id, sends(actions)[0].Backend, 0, AnsweredError)
+	if rejects, _ := finals(actions); rejects != 1 || len(sends(actions)) != 0 {
+		t.Errorf("10 ms before the client's timeout: got %v, want a rejection and no send", actions)
 	}
 }
 
-func TestDeadlineGivesOneFinalAnswer(t *testing.T) {
+func TestClientTimeoutGivesOneFinalAnswer(t *testing.T) {
 	for class, wantFail := range map[string]bool{"safe": false, "once": true, "celled": true} {
-		r := newRig(t, testSettings(), fleet(1)...)
-		id, as := r.ask(class, "wide", 1)
-		b := sends(as)[0].Backend
-		r.now += 6 * second
-		as = r.do(Timer{Token: r.g.lastSeq})
-		refused, failed := finals(as)
-		if refused+failed != 1 || (failed == 1) != wantFail {
-			t.Errorf("%s: refused %d failed %d", class, refused, failed)
+		tg := newRig(t, testSettings(), fleet(1)...)
+		id, actions := tg.ask(class, "wide", 1)
+		backend := sends(actions)[0].Backend
+		tg.now += 6 * second
+		actions = tg.do(Timer{Token: tg.g.lastSeq})
+		rejects, fails := finals(actions)
+		if rejects+fails != 1 || (fails == 1) != wantFail {
+			t.Errorf("%s: got %d rejections and %d failures, want one: a failure unless every repeat is harmless",
+				class, rejects, fails)
 		}
-		if as = r.outcome(id, b, 0, Cancelled); len(as) != 0 || held(r.g) != 0 || len(r.g.requests) != 0 {
-			t.Errorf("%s: a late outcome led to %v, %d slots, %d requests", class, as, held(r.g), len(r.g.requests))
+		if actions = tg.outcome(id, backend, 0, Cancelled); len(actions) != 0 || held(tg.g) != 0 ||
+			len(tg.g.requests) != 0 {
+			t.Errorf("%s: got actions %v, %d slots in use and %d requests after the late outcome, want none",
+				class, actions, held(tg.g), len(tg.g.requests))
 		}
 	}
 }
 
-// Never two attempts out: a deadline calls the last one off, an outcome alone leads to the next.
-func TestOneAttemptOutAtATime(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(3)...)
-	id, as := r.ask("safe", "wide", 1)
-	first := sends(as)[0]
-	r.now += 5 * second // silent for long
-	if as = r.do(Timer{Token: 0}); len(sends(as)) != 0 {
-		t.Fatalf("a second attempt beside the first: %v", as)
+// At most one attempt of a request is in flight: only the outcome of one leads to the next, and the deadline cancels
+// the last.
+func TestAttemptsOfARequestDoNotOverlap(t *testing.T) {
+	tg := newRig(t, testSettings(), fleet(3)...)
+	id, actions := tg.ask("safe", "wide", 1)
+	first := sends(actions)[0]
+	tg.now += 5 * second // without an answer
+	if actions = tg.do(Timer{Token: 0}); len(sends(actions)) != 0 {
+		t.Fatalf("got %v with the first attempt in flight, want no send", actions)
 	}
-	as = r.outcome(id, first.Backend, 0, ConnectionBroken)
-	if got := sends(as); len(got) != 1 || got[0].Backend == first.Backend {
-		t.Errorf("no second try elsewhere: %v", as)
+	actions = tg.outcome(id, first.Backend, 0, ConnectionBroken)
+	if got := sends(actions); len(got) != 1 || got[0].Backend == first.Backend {
+		t.Errorf("got %v after the first attempt failed, want one send to another backend", actions)
 	}
 }
--- a/internal/gateway/ceiling_test.go
+++ b/internal/gateway/ceiling_test.go
@@ -4,88 +4,89 @@
 	"testing"
 )
 
-func TestCeilingParts(t *testing.T) {
-	s := testSettings()
-	r := newRig(t, s, fleet(2)...)
-	passed := func(n int) (k int) {
-		for range n {
-			_, as := r.ask("safe", "capped", 9)
-			k += len(sends(as))
+func TestCeilingIsSplitIntoShares(t *testing.T) {
+	settings := testSettings()
+	tg := newRig(t, settings, fleet(2)...)
+	sent := func(requests int) (count int) {
+		for range requests {
+			_, actions := tg.ask("safe", "capped", 9)
+			count += len(sends(actions))
 		}
-		return k
+		return count
 	}
-	if k := passed(10); k != 0 {
-		t.Errorf("%d passed right after a start, which may be a restart with the part used up", k)
+	if got := sent(10); got != 0 {
+		t.Errorf("got %d sends right after the start, want 0: before a restart the share may have been used up", got)
 	}
-	r.now += 10 * second
-	if k := passed(10); k != 4 {
-		t.Errorf("%d passed, want half of the ceiling's store of 8", k)
+	tg.now += 10 * second
+	if got := sent(10); got != 4 {
+		t.Errorf("got %d sends, want 4, half of the ceiling's burst of 8", got)
 	}
-	r.now += second
-	if k := passed(10); k != 2 {
-		t.Errorf("%d passed a second later, want half of 4", k)
+	tg.now += second
+	if got := sent(10); got != 2 {
+		t.Errorf("got %d sends a second later, want 2, half of the ceiling's refill of 4", got)
 	}
-	s.Index, s.Gateways = 3, 4
-	r = newRig(t, s, fleet(2)...)
-	r.now += 100 * second
-	if k := passed(3); k != 0 {
-		t.Errorf("%d passed at a door outside the customer's set", k)
+	settings.Index, settings.Gateways = 3, 4
+	tg = newRig(t, settings, fleet(2)...)
+	tg.now += 100 * second
+	if got := sent(3); got != 0 {
+		t.Errorf("got %d sends at a gateway that is not one of the customer's, want 0", got)
 	}
 }
 
-func TestOpenCapPart(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(2)...)
+func TestInFlightLimitIsSplitIntoShares(t *testing.T) {
+	tg := newRig(t, testSettings(), fleet(2)...)
 	got := 0
 	for range 5 {
-		_, as := r.ask("safe", "open", 3)
-		got += len(sends(as))
+		_, actions := tg.ask("safe", "open", 3)
+		got += len(sends(actions))
 	}
 	if got != 2 {
-		t.Errorf("%d out, want this door's half of 4", got)
+		t.Errorf("got %d attempts in flight, want 2, this gateway's half of 4", got)
 	}
 }
 
-// A customer with as many attempts out as its part allows waits for one of them to end, if that will be soon: of
-// those that come meanwhile, no more than can still be answered in time are held, and one that waited in vain is
-// refused long before its client gives up.
-func TestRequestsWaitForAnAttemptToEnd(t *testing.T) {
-	s := testSettings()
-	s.Plans[3].MaxInFlight = 2 // one at each gateway
-	r := newRig(t, s, fleet(3)...)
-	r.g.meanLatency = 0.6 // seconds
-	one, as := r.ask("safe", "open", 3)
-	if len(sends(as)) != 1 {
-		t.Fatalf("the first led to %+v", as)
+// A request of a customer that is at its limit of attempts in flight is queued until one of them ends, if that is soon
+// by the mean latency. Only as many are queued as can still be answered in time, and a request that leaves the queue
+// unsent is rejected long before its client times out.
+func TestRequestsBeyondTheInFlightLimitAreQueued(t *testing.T) {
+	settings := testSettings()
+	settings.Plans[3].MaxInFlight = 2 // one at each gateway
+	tg := newRig(t, settings, fleet(3)...)
+	tg.g.meanLatency = 0.6 // seconds
+	sentID, actions := tg.ask("safe", "open", 3)
+	if len(sends(actions)) != 1 {
+		t.Fatalf("first request: got %+v, want one send", actions)
 	}
-	two, as2 := r.ask("safe", "open", 3)
-	_, as3 := r.ask("safe", "open", 3)
-	if len(sends(as2))+len(sends(as3)) != 0 {
-		t.Fatalf("sent over the limit: %+v %+v", as2, as3)
+	queuedID, queuedActions := tg.ask("safe", "open", 3)
+	_, thirdActions := tg.ask("safe", "open", 3)
+	if len(sends(queuedActions))+len(sends(thirdActions)) != 0 {
+		t.Fatalf("got %+v and %+v at the limit of attempts in flight, want no sends", queuedActions, thirdActions)
 	}
-	if refused, _ := finals(as2); refused != 0 {
-		t.Errorf("one that could wait was refused")
+	if rejects, _ := finals(queuedActions); rejects != 0 {
+		t.Errorf("second request: got a rejection, want it queued")
 	}
-	if refused, _ := finals(as3); refused != 1 {
-		t.Errorf("one that would wait for 1.2 s, of a 2 s aim and a patience of 6 s, led to %+v, want a refusal", as3)
+	if rejects, _ := finals(thirdActions); rejects != 1 {
+		t.Errorf("third request, 1.2 s to wait, target latency 2 s, timeout 6 s: got %+v, want a rejection",
+			thirdActions)
 	}
-	r.now += 300 * ms
-	as = r.outcome(one, sends(as)[0].Backend, 0, Answered)
-	if got := sends(as); len(got) != 1 || got[0].Request != two {
-		t.Fatalf("an attempt ended, which led to %+v", as)
+	tg.now += 300 * ms
+	actions = tg.outcome(sentID, sends(actions)[0].Backend, 0, Answered)
+	if got := sends(actions); len(got) != 1 || got[0].Request != queuedID {
+		t.Fatalf("got %+v when the attempt ended, want a send of the queued request", actions)
 	}
-	r.now += 300 * ms
-	_, as = r.ask("safe", "open", 3)
-	var hold SetTimer
-	for _, a := range as {
-		if timer, ok := a.(SetTimer); ok {
-			hold = timer
+	tg.now += 300 * ms
+	_, actions = tg.ask("safe", "open", 3)
+	var queueTimer SetTimer
+	for _, action := range actions {
+		if timer, ok := action.(SetTimer); ok {
+			queueTimer = timer
 		}
 	}
-	if hold.After <= 0 || hold.After > second {
-		t.Fatalf("a held request led to %+v", as)
+	if queueTimer.After <= 0 || queueTimer.After > second {
+		t.Fatalf("got %+v for a queued request, want a timer of up to a second", actions)
 	}
-	r.now += hold.After
-	if refused, _ := finals(r.do(Timer{Token: hold.Token})); refused != 1 {
-		t.Error("one that waited in vain got no refusal")
+	tg.now += queueTimer.After
+	if rejects, _ := finals(tg.do(Timer{Token: queueTimer.Token})); rejects != 1 {
+		t.Error("got no rejection when the time in the queue was over, want one")
 	}
 }
--- a/internal/gateway/concurrency_test.go
+++ b/internal/gateway/concurrency_test.go
@@ -6,137 +6,147 @@
 	"testing"
 )
 
-func TestN(t *testing.T) {
-	press := func(n, bad, ended float64, sick int, flow float64) float64 {
-		r := newRig(t, testSettings(), fleet(3)...)
-		g := r.g
-		g.concurrencyLimit, g.partitionSize, g.outcomes, g.badOutcomes = n, [3]float64{0, 0, n}, ended, bad
-		g.inUse[sharedPool], g.sendRate = 50, 50 // many sends: a second is weighed by a half
-		g.sustainableLimit, g.lateAgeSum = flow, flow
-		for _, b := range slices.Collect(g.ranking.All())[:sick] {
-			b.lastBadAt = g.now
+func TestAdjustLimit(t *testing.T) {
+	adjusted := func(limit, bad, outcomes float64, affected int, sustainable float64) float64 {
+		tg := newRig(t, testSettings(), fleet(3)...)
+		g := tg.g
+		g.concurrencyLimit, g.partitionSize, g.outcomes, g.badOutcomes = limit, [3]float64{0, 0, limit}, outcomes, bad
+		g.inUse[sharedPool], g.sendRate = 50, 50 // at this rate of sends, a second has the highest weight, a half
+		g.sustainableLimit, g.lateAgeSum = sustainable, sustainable
+		for _, backend := range slices.Collect(g.ranking.All())[:affected] {
+			backend.lastBadAt = g.now
 		}
 		g.adjustLimit()
 		return g.concurrencyLimit
 	}
 	inf := math.Inf(1)
-	for _, c := range []struct {
-		name          string
-		n, bad, ended float64
-		sick          int
-		flow, want    float64
+	for _, test := range []struct {
+		name                 string
+		limit, bad, outcomes float64
+		affected             int // backends with bad outcomes, of 3
+		sustainable, want    float64
 	}{
-		{"over 5 in 100", inf, 12, 100, 3, 80, 45},
-		{"just 5 in 100", 500, 5, 100, 3, 600, 550},
-		{"over 5 in 100, but not more than by chance", 500, 11, 100, 3, 600, 550},
-		{"more than by chance of many", 500, 73, 1000, 3, 600, 300},
-		{"one sick backend of three", 500, 30, 100, 1, 600, 550},
-		{"one bad one is too few to tell", 100, 1, 2, 3, 150, 110},
-		{"good seconds grow it a tenth", 60, 0, 100, 0, 100, 66},
-		{"a cut never raises it", 20, 50, 100, 3, 30, 18},
-		{"never under one a backend from all doors", 0.5, 50, 100, 3, 0, 1.5},
-		{"few bad outcomes, but none on the same backend", inf, 3, 4, 3, 80, 45},
-		{"at once to what answers can carry in time", inf, 50, 100, 3, 40, 40},
-		{"also while nothing presses", inf, 0, 100, 0, 40, 40},
-		{"not under what they carry in half that", 4, 50, 100, 3, 40, 20},
-		{"no answers yet: it stays unbounded", inf, 0, 0, 0, 0, inf},
+		{"more than 5% bad", inf, 12, 100, 3, 80, 45},
+		{"exactly 5% bad", 500, 5, 100, 3, 600, 550},
+		{"more than 5% bad, but within chance", 500, 11, 100, 3, 600, 550},
+		{"more than 5% bad of many, beyond chance", 500, 73, 1000, 3, 600, 300},
+		{"one affected backend of three", 500, 30, 100, 1, 600, 550},
+		{"a single bad outcome is too few", 100, 1, 2, 3, 150, 110},
+		{"no bad outcomes: raised by 10%", 60, 0, 100, 0, 100, 66},
+		{"a decrease never raises the limit", 20, 50, 100, 3, 30, 18},
+		{"at least one per backend over all gateways", 0.5, 50, 100, 3, 0, 1.5},
+		{"few bad outcomes, each on a different backend", inf, 3, 4, 3, 80, 45},
+		{"at once down to the sustainable limit", inf, 50, 100, 3, 40, 40},
+		{"the same without overload", inf, 0, 100, 0, 40, 40},
+		{"at least half of the sustainable limit", 4, 50, 100, 3, 40, 20},
+		{"unbounded until there are answers", inf, 0, 0, 0, 0, inf},
 	} {
-		if got := press(c.n, c.bad, c.ended, c.sick, c.flow); math.Abs(got-c.want) > 1e-9 && got != c.want {
-			t.Errorf("%s: N %v, want %v", c.name, got, c.want)
+		if got := adjusted(test.limit, test.bad, test.outcomes, test.affected,
+			test.sustainable); math.Abs(got-test.want) > 1e-9 && got != test.want {
+			t.Errorf("%s: got limit %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
-// One of many gateways hears a few answers a second. What they can carry in time is counted in full within the
-// first seconds, not begun from nothing, which would refuse a tenth of the requests after each start.
-func TestNFollowsTheFirstSecondsOfFewAnswers(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(30)...)
-	g := r.g
-	const aims = 3.0
-	for second, least := range []float64{0.5, 0.75, 0.83, 0.87} {
-		g.sends, g.lateAgeSum, g.outcomes = 5, aims, 5
+// One of many gateways gets a few answers a second. The attempts in flight that they can sustain are learnt within the
+// first seconds. If their mean began at 0 without more weight on the first seconds, a tenth of the requests would be
+// rejected after each start.
+func TestSustainableLimitFollowsFewAnswersAfterTheStart(t *testing.T) {
+	tg := newRig(t, testSettings(), fleet(30)...)
+	g := tg.g
+	const lateAgeSum = 3.0 // of each second's answers
+	for elapsed, minShare := range []float64{0.5, 0.75, 0.83, 0.87} {
+		g.sends, g.lateAgeSum, g.outcomes = 5, lateAgeSum, 5
 		g.onTimer(0)
-		if g.sustainableLimit < least*aims-0.01 || g.sustainableLimit > aims {
-			t.Errorf("after %d s a flow of %v is taken to be %v, want %v of it at least", second+1, aims, g.sustainableLimit, least)
+		if g.sustainableLimit < minShare*lateAgeSum-0.01 || g.sustainableLimit > lateAgeSum {
+			t.Errorf("after %d s with lateAgeSum %v: got sustainableLimit %v, want %v of that to all of it",
+				elapsed+1, lateAgeSum, g.sustainableLimit, minShare)
 		}
 	}
 }
 
-// Marked attempts count as the slots they were squeezed from: in a jam N used to grow by its own cuts.
-func TestSubratedAttemptsDoNotLiftN(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(3)...)
-	g := r.g
-	g.concurrencyLimit, g.partitionSize, g.markedCount, g.outcomes, g.badOutcomes, g.sustainableLimit = 100, [3]float64{0, 0, 100}, 60, 100, 50, 180
+// A sub-rated attempt counts as the reduced slot that it occupies. When each counted as a whole slot, the limit grew
+// by its own decreases in an overload.
+func TestSubratedAttemptsDoNotRaiseTheLimit(t *testing.T) {
+	tg := newRig(t, testSettings(), fleet(3)...)
+	g := tg.g
+	g.concurrencyLimit, g.partitionSize, g.markedCount, g.outcomes, g.badOutcomes, g.sustainableLimit =
+		100, [3]float64{0, 0, 100}, 60, 100, 50, 180
 	g.inUse[sharedPool] = 130
-	for b := range g.ranking.All() {
-		b.lastBadAt = g.now
+	for backend := range g.ranking.All() {
+		backend.lastBadAt = g.now
 	}
 	if g.adjustLimit(); g.concurrencyLimit != 90 {
-		t.Errorf("N %v, want 90", g.concurrencyLimit)
+		t.Errorf("got limit %v, want 90", g.concurrencyLimit)
 	}
 }
 
-// An attempt still out after half its aim presses N: the client's own time-out comes only in a standing jam.
-func TestOverdueAttemptsPressN(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(3)...)
+// An attempt that is still in flight after half of its target latency counts as a bad outcome. The client's own timeout
+// comes only when an overload has lasted for long.
+func TestOverdueAttemptsLowerTheLimit(t *testing.T) {
+	tg := newRig(t, testSettings(), fleet(3)...)
 	for i := range 30 {
-		r.ask("safe", "wide", CustomerID(i))
+		tg.ask("safe", "wide", CustomerID(i))
 	}
-	r.now += 1100 * ms
-	r.do(Timer{Token: 0})
-	if math.IsInf(r.g.concurrencyLimit, 1) {
-		t.Error("N stayed unbounded with 30 attempts past half their aim")
+	tg.now += 1100 * ms
+	tg.do(Timer{Token: 0})
+	if math.IsInf(tg.g.concurrencyLimit, 1) {
+		t.Error("got no limit with 30 attempts in flight for more than half of their target latency, want one")
 	}
 }
 
-// N does not wait for late answers: what a second's answers cannot carry in time is late already.
-func TestNHoldsABurstBeforeItIsLate(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(3)...)
+// The limit is lowered before answers are late: attempts in flight that a second's answers cannot sustain are certain
+// to be late.
+func TestLimitIsLoweredBeforeABurstIsLate(t *testing.T) {
+	tg := newRig(t, testSettings(), fleet(3)...)
 	for i := range 30 {
-		id, as := r.ask("safe", "wide", CustomerID(i))
-		r.outcome(id, sends(as)[0].Backend, 0, Answered)
+		id, actions := tg.ask("safe", "wide", CustomerID(i))
+		tg.outcome(id, sends(actions)[0].Backend, 0, Answered)
 	}
 	for i := range 200 {
-		r.ask("safe", "wide", CustomerID(i))
+		tg.ask("safe", "wide", CustomerID(i))
 	}
-	r.now += 300 * ms // nothing is late yet
-	r.do(Timer{Token: 0})
-	if r.g.concurrencyLimit > 30 {
-		t.Errorf("N %v after a second with 30 answers and 200 attempts out", r.g.concurrencyLimit)
+	tg.now += 300 * ms // nothing is late yet
+	tg.do(Timer{Token: 0})
+	if tg.g.concurrencyLimit > 30 {
+		t.Errorf("got limit %v after a second with 30 answers and 200 attempts in flight, want at most 30",
+			tg.g.concurrencyLimit)
 	}
 }
 
-func TestLateIsMeasuredByTheBestLatencyToo(t *testing.T) {
-	c := classState{Class: Class{TargetLatency: 4 * second}, minLatency: 0.1}
-	if got := c.lateAge(); math.Abs(got-lateLatencyFactor*0.1) > 1e-9 {
-		t.Errorf("late from %v s, want %v times the best latency", got, lateLatencyFactor)
+func TestLateAgeIsBoundedByTheMinimumLatencyToo(t *testing.T) {
+	class := classState{Class: Class{TargetLatency: 4 * second}, minLatency: 0.1}
+	if got := class.lateAge(); math.Abs(got-lateLatencyFactor*0.1) > 1e-9 {
+		t.Errorf("got a late age of %v s, want %v times the minimum latency of 0.1 s", got, lateLatencyFactor)
 	}
-	if c.minLatency = 3; c.lateAge() != 2 {
-		t.Errorf("late from %v s, want half the aim", c.lateAge())
+	if class.minLatency = 3; class.lateAge() != 2 {
+		t.Errorf("got a late age of %v s, want 2 s, half of the target latency", class.lateAge())
 	}
 }
 
-// With hundreds of gateways a least N of one attempt a gateway was a jam by itself, for good (ifd7116, i2d298a,
-// ibf5006).
-func TestNIsAFractionAtManyDoors(t *testing.T) {
-	s := testSettings()
-	s.Gateways = 600
-	r := newRig(t, s, fleet(60)...)
-	var out [][]Action
-	for i := range 90 { // requests of which none is answered; their clients leave after six seconds
+// In a fleet of hundreds of gateways the limit of each must be able to fall below 1. A lower bound of one attempt per
+// gateway was an overload of its own that never ended (issues ifd7116, i2d298a, ibf5006).
+func TestLimitFallsBelowOneWithManyGateways(t *testing.T) {
+	settings := testSettings()
+	settings.Gateways = 600
+	tg := newRig(t, settings, fleet(60)...)
+	var history [][]Action // of each request
+	for i := range 90 {    // requests that are not answered; their clients time out after six seconds
 		for range 3 {
-			_, as := r.ask("safe", "wide", CustomerID(i))
-			out = append(out, as)
+			_, actions := tg.ask("safe", "wide", CustomerID(i))
+			history = append(history, actions)
 		}
-		r.now += second
-		for _, as := range out[max(0, len(out)-21):max(0, len(out)-18)] {
-			for _, a := range sends(as) {
-				r.do(Outcome{Request: a.Request, Backend: a.Backend, Result: TimedOut, Duration: 6 * second, Final: true})
+		tg.now += second
+		for _, actions := range history[max(0, len(history)-21):max(0, len(history)-18)] {
+			for _, send := range sends(actions) {
+				tg.do(Outcome{Request: send.Request, Backend: send.Backend, Result: TimedOut, Duration: 6 * second,
+					Final: true})
 			}
 		}
-		r.do(Timer{Token: 0})
+		tg.do(Timer{Token: 0})
 	}
-	if r.g.concurrencyLimit > 1.5 || r.g.concurrencyLimit < 60.0/600 {
-		t.Errorf("N %v after 90 s without an answer, want about one", r.g.concurrencyLimit)
+	if tg.g.concurrencyLimit > 1.5 || tg.g.concurrencyLimit < 60.0/600 {
+		t.Errorf("got limit %v after 90 s without an answer, want one between 60/600 and 1.5",
+			tg.g.concurrencyLimit)
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -9,26 +9,26 @@
 
 const ms = time.Millisecond
 
-func TestSettingsThatCannotWork(t *testing.T) {
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	cases := map[string]func(*Settings){
-		"no classes":      func(s *Settings) { s.Classes = nil },
-		"no plans":        func(s *Settings) { s.Plans = nil },
-		"no front doors":  func(s *Settings) { s.Gateways = 0 },
-		"no attempts":     func(s *Settings) { s.MaxAttempts = 0 },
-		"worth NaN":       func(s *Settings) { s.Classes[0].Value = math.NaN() },
-		"no aim":          func(s *Settings) { s.Classes[0].TargetLatency = 0 },
-		"rate NaN":        func(s *Settings) { s.Plans[0].Rate = math.NaN() },
-		"rate infinite":   func(s *Settings) { s.Plans[0].Rate = math.Inf(1) },
-		"no burst":        func(s *Settings) { s.Plans[0].Burst = 0 },
-		"ceiling below 0": func(s *Settings) { s.Plans[2].CeilingRate = -1 },
-		"cost NaN":        func(s *Settings) { s.Plans[0].ExcessCostShare = math.NaN() },
-		"worth below 0":   func(s *Settings) { s.Plans[0].ExcessValueShare = -1 },
+		"no classes":                  func(s *Settings) { s.Classes = nil },
+		"no plans":                    func(s *Settings) { s.Plans = nil },
+		"no gateways":                 func(s *Settings) { s.Gateways = 0 },
+		"no attempts":                 func(s *Settings) { s.MaxAttempts = 0 },
+		"NaN value":                   func(s *Settings) { s.Classes[0].Value = math.NaN() },
+		"no target latency":           func(s *Settings) { s.Classes[0].TargetLatency = 0 },
+		"NaN rate":                    func(s *Settings) { s.Plans[0].Rate = math.NaN() },
+		"infinite rate":               func(s *Settings) { s.Plans[0].Rate = math.Inf(1) },
+		"no burst":                    func(s *Settings) { s.Plans[0].Burst = 0 },
+		"negative ceiling rate":       func(s *Settings) { s.Plans[2].CeilingRate = -1 },
+		"NaN excess cost share":       func(s *Settings) { s.Plans[0].ExcessCostShare = math.NaN() },
+		"negative excess value share": func(s *Settings) { s.Plans[0].ExcessValueShare = -1 },
 	}
-	for name, spoil := range cases {
-		s := testSettings()
-		spoil(&s)
-		if _, err := New(s, 1, 0); err == nil {
-			t.Errorf("%s: accepted", name)
+	for name, invalidate := range cases {
+		settings := testSettings()
+		invalidate(&settings)
+		if _, err := New(settings, 1, 0); err == nil {
+			t.Errorf("%s: New returned no error, want one", name)
 		}
 	}
 	if _, err := New(testSettings(), 1, 0); err != nil {
@@ -36,74 +36,76 @@
 	}
 }
 
-func TestOddEventsDoNothing(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(2)...)
-	id, as := r.ask("safe", "wide", 1)
-	b := sends(as)[0].Backend
-	r.outcome(id, b, 0, Answered)
+func TestStaleAndUnknownEventsHaveNoEffect(t *testing.T) {
+	tg := newRig(t, testSettings(), fleet(2)...)
+	id, actions := tg.ask("safe", "wide", 1)
+	backend := sends(actions)[0].Backend
+	tg.outcome(id, backend, 0, Answered)
 	for _, ev := range []Event{
-		Outcome{Request: id, Backend: b, Result: TimedOut}, Outcome{Request: 999, Backend: 77},
+		Outcome{Request: id, Backend: backend, Result: TimedOut}, Outcome{Request: 999, Backend: 77},
 		Outcome{Request: id, Attempt: -4}, ClientGone{Request: id}, ClientGone{Request: 12345},
 		Timer{Token: 1 << 40}, Timer{Token: 2}, Timer{Token: 3}, AnswerStarted{Request: 5},
 		ProbeResult{Backend: 99}, BackendList{Kind: ListFailed},
 		BackendList{Kind: ListChanges, Backends: []BackendInfo{{ID: 50, State: Gone}}},
 	} {
-		if as := r.do(ev); len(as) != 0 {
-			t.Errorf("%#v led to %v", ev, as)
+		if actions := tg.do(ev); len(actions) != 0 {
+			t.Errorf("%#v: got actions %v, want none", ev, actions)
 		}
 	}
-	if r.g.inUse != [3]int{} {
-		t.Errorf("slots left in use: %v", r.g.inUse)
+	if tg.g.inUse != [3]int{} {
+		t.Errorf("got slots in use %v after all requests have ended, want none", tg.g.inUse)
 	}
 }
 
-func TestRequestsThatCannotGoAreRefusedAtOnce(t *testing.T) {
-	good := Request{ID: 1, Class: "safe", Plan: "wide", Units: 1, Timeout: second, GatewayCount: 1}
+func TestInvalidRequestsAndThoseWithoutABackendAreRejected(t *testing.T) {
+	valid := Request{ID: 1, Class: "safe", Plan: "wide", Units: 1, Timeout: second, GatewayCount: 1}
 	cases := map[string]func(*Request){
-		"class":    func(q *Request) { q.Class = "?" },
-		"plan":     func(q *Request) { q.Plan = "?" },
-		"units":    func(q *Request) { q.Units = math.NaN() },
-		"negative": func(q *Request) { q.Units = -1 },
-		"patience": func(q *Request) { q.Timeout = 0 },
+		"unknown class":  func(request *Request) { request.Class = "?" },
+		"unknown plan":   func(request *Request) { request.Plan = "?" },
+		"NaN units":      func(request *Request) { request.Units = math.NaN() },
+		"negative units": func(request *Request) { request.Units = -1 },
+		"no timeout":     func(request *Request) { request.Timeout = 0 },
 	}
-	for name, spoil := range cases {
-		r, q := newRig(t, testSettings(), fleet(1)...), good
-		spoil(&q)
-		if n, _ := finals(r.do(q)); n != 1 {
-			t.Errorf("%s: %d refusals", name, n)
+	for name, invalidate := range cases {
+		tg, request := newRig(t, testSettings(), fleet(1)...), valid
+		invalidate(&request)
+		if rejects, _ := finals(tg.do(request)); rejects != 1 {
+			t.Errorf("%s: got %d rejections, want 1", name, rejects)
 		}
 	}
-	r := newRig(t, testSettings())
-	if n, _ := finals(r.do(good)); n != 1 || held(r.g) != 0 {
-		t.Errorf("no backend: %d refusals, %d slots held", n, held(r.g))
+	tg := newRig(t, testSettings())
+	if rejects, _ := finals(tg.do(valid)); rejects != 1 || held(tg.g) != 0 {
+		t.Errorf("no backend: got %d rejections and %d slots in use, want 1 and 0", rejects, held(tg.g))
 	}
 }
 
-func TestEqualInstancesActAlike(t *testing.T) {
-	a, b := newRig(t, testSettings(), fleet(7)...), newRig(t, testSettings(), fleet(7)...)
+func TestEqualGatewaysReturnEqualActions(t *testing.T) {
+	left, right := newRig(t, testSettings(), fleet(7)...),
+		newRig(t, testSettings(), fleet(7)...)
 	for i := range 500 {
-		a.now += 3 * ms
-		b.now = a.now
-		_, x := a.ask("safe", "rated", CustomerID(i%9))
-		_, y := b.ask("safe", "rated", CustomerID(i%9))
+		left.now += 3 * ms
+		right.now = left.now
+		_, leftActions := left.ask("safe", "rated", CustomerID(i%9))
+		_, rightActions := right.ask("safe", "rated", CustomerID(i%9))
 		if i%50 == 0 {
-			x, y = append(x, a.do(Timer{})...), append(y, b.do(Timer{})...)
+			leftActions, rightActions =
+				append(leftActions, left.do(Timer{})...), append(rightActions, right.do(Timer{})...)
 		}
-		if !reflect.DeepEqual(x, y) {
-			t.Fatalf("step %d: %v and %v", i, x, y)
+		if !reflect.DeepEqual(leftActions, rightActions) {
+			t.Fatalf("step %d: got actions %v and %v, want them equal", i, leftActions, rightActions)
 		}
 	}
 }
 
-func TestIdleCustomersAreForgotten(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(1)...)
+func TestIdleCustomersAreDeleted(t *testing.T) {
+	tg := newRig(t, testSettings(), fleet(1)...)
 	for i := range 1000 {
-		id, as := r.ask("safe", "rated", CustomerID(i))
-		r.outcome(id, sends(as)[0].Backend, 0, Answered)
+		id, actions := tg.ask("safe", "rated", CustomerID(i))
+		tg.outcome(id, sends(actions)[0].Backend, 0, Answered)
 	}
-	r.now += customerIdleTime + second
-	r.do(Timer{})
-	if n := len(r.g.customers); n != 0 {
-		t.Errorf("%d customers kept after a minute idle", n)
+	tg.now += customerIdleTime + second
+	tg.do(Timer{})
+	if n := len(tg.g.customers); n != 0 {
+		t.Errorf("got %d customers after all have been idle for more than customerIdleTime, want 0", n)
 	}
 }
--- a/internal/gateway/health_test.go
+++ b/internal/gateway/health_test.go
@@ -5,154 +5,165 @@
 	"testing"
 )
 
-// Connections break one by one on some days. A reset must not take a backend for one that has restarted, or all of
-// them are soon cold together; only where no connection comes up any more is one down.
-func TestOneBrokenConnectionIsNoRestart(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(1)...)
-	id, _ := r.ask("safe", "wide", 1)
-	r.outcome(id, 1, 0, ConnectionBroken)
-	b := r.g.backends[1]
-	if b.cold || b.backoffUntil > r.now {
-		t.Errorf("after a reset: cold %v, held for %v", b.cold, b.backoffUntil-r.now)
+// On some days single connections break often. A broken connection must not make its backend count as restarted, or
+// soon all backends are cold at once. Only a backend to which no connection can be established counts as down.
+func TestOnlyFailedConnectionsInARowMakeABackendCold(t *testing.T) {
+	tg := newRig(t, testSettings(), fleet(1)...)
+	id, _ := tg.ask("safe", "wide", 1)
+	tg.outcome(id, 1, 0, ConnectionBroken)
+	backend := tg.g.backends[1]
+	if backend.cold || backend.backoffUntil > tg.now {
+		t.Errorf("after a broken connection: got cold %v and a backoff of %v, want neither",
+			backend.cold, backend.backoffUntil-tg.now)
 	}
 	for n := 1; n <= downAfterFailures; n++ {
-		id, as := r.ask("safe", "wide", 1)
-		if len(sends(as)) != 1 {
-			t.Fatalf("after %d failed connections and a hold: %+v", n-1, as)
+		id, actions := tg.ask("safe", "wide", 1)
+		if len(sends(actions)) != 1 {
+			t.Fatalf("after %d failed connections and the backoff: got %+v, want one send", n-1, actions)
 		}
-		r.outcome(id, 1, 0, NoConnection)
-		if b.backoffUntil <= r.now || b.cold != (n == downAfterFailures) {
-			t.Errorf("after %d failed connections: cold %v, held for %v", n, b.cold, b.backoffUntil-r.now)
+		tg.outcome(id, 1, 0, NoConnection)
+		if backend.backoffUntil <= tg.now || backend.cold != (n == downAfterFailures) {
+			t.Errorf("after %d failed connections: got cold %v and backoff %v, want cold from downAfterFailures on",
+				n, backend.cold, backend.backoffUntil-tg.now)
 		}
-		r.now = b.backoffUntil
+		tg.now = backend.backoffUntil
 	}
 }
 
-// quick is a gateway of n backends, in one cell, that has learnt that answers take 100 ms and may call all off that
-// it likes, with one attempt of the class out.
-func quick(t *testing.T, n int, class string) (r *rig, id RequestID, b BackendID) {
+// startAttempt returns a gateway with an attempt of a request of the class in flight, the request and the backend of
+// the attempt. The gateway has n backends in one cell, a mean latency of 100 ms and a full budget of cancellations.
+func startAttempt(t *testing.T, n int, class string) (tg *rig, id RequestID, backend BackendID) {
 	t.Helper()
 	backends := fleet(n)
 	for i := range backends {
 		backends[i].Cell = 0
 	}
-	r = newRig(t, testSettings(), backends...)
-	for _, cl := range r.g.orderedClasses {
-		cl.meanLatency, cl.minLatency = 0.1, 0.1
+	tg = newRig(t, testSettings(), backends...)
+	for _, state := range tg.g.orderedClasses {
+		state.meanLatency, state.minLatency = 0.1, 0.1
 	}
-	r.g.meanLatency, r.g.minLatency, r.g.cancelBudget = 0.1, 0.1, maxCancelBudget
-	id, as := r.ask(class, "wide", 1)
-	return r, id, sends(as)[0].Backend
+	tg.g.meanLatency, tg.g.minLatency, tg.g.cancelBudget = 0.1, 0.1, maxCancelBudget
+	id, actions := tg.ask(class, "wide", 1)
+	return tg, id, sends(actions)[0].Backend
 }
 
-// wait lets the time pass after which a first attempt may be cancelled, and gives what the next event leads to.
-func (r *rig) wait() []Action {
-	r.now += seconds(cancelAfterLatencies*0.1) + ms
-	return r.do(ProbeResult{})
+// waitUntilSlow advances the time until a first attempt may be cancelled as too slow, and returns the actions that the
+// next event leads to.
+func (tg *rig) waitUntilSlow() []Action {
+	tg.now += seconds(cancelAfterLatencies*0.1) + ms
+	return tg.do(ProbeResult{})
 }
 
-func cancels(as []Action) (out []Cancel) {
-	for _, a := range as {
-		if c, ok := a.(Cancel); ok {
-			out = append(out, c)
+// cancels returns the Cancel actions among the actions.
+func cancels(actions []Action) (out []Cancel) {
+	for _, action := range actions {
+		if cancel, ok := action.(Cancel); ok {
+			out = append(out, cancel)
 		}
 	}
 	return out
 }
 
-// An attempt that waits out of all proportion is made once more elsewhere, in the same slot, if that is allowed, and
-// only once: what has waited for the second attempt as long may be slow by nature.
-func TestAttemptsThatWaitTooLongAreMadeElsewhereOnce(t *testing.T) {
-	for _, c := range []struct {
+// A first attempt that takes far longer than usual is cancelled and repeated at another backend, in the same slot, if
+// the request may be repeated. This happens only once per request: one whose second attempt takes as long may be slow
+// by nature.
+func TestSlowFirstAttemptsAreRepeatedElsewhereOnce(t *testing.T) {
+	for _, test := range []struct {
 		name, class string
 		change      func(*rig)
 		want        int
 	}{
 		{"safe", "safe", func(*rig) {}, 1},
-		{"keyed, in its cell", "celled", func(*rig) {}, 1},
+		{"deduplicated in its cell", "celled", func(*rig) {}, 1},
 		{"unsafe", "once", func(*rig) {}, 0},
-		{"keyed, alone in its cell", "celled", func(r *rig) {
-			for i, b := range slices.Collect(r.g.ranking.All()) {
-				b.Cell = i
+		{"deduplicated, no other backend in its cell", "celled", func(tg *rig) {
+			for i, backend := range slices.Collect(tg.g.ranking.All()) {
+				backend.Cell = i
 			}
 		}, 0},
-		{"no share left", "safe", func(r *rig) { r.g.cancelBudget = 0.9 }, 0},
-		{"no cancels", "safe", func(r *rig) { r.g.settings.CanCancel = false }, 0},
-		{"the client gives up soon", "safe", func(r *rig) {
-			for _, q := range r.g.requests {
-				q.deadline = r.now + seconds(cancelAfterLatencies*0.1) + 150*ms
+		{"cancellation budget used up", "safe", func(tg *rig) { tg.g.cancelBudget = 0.9 }, 0},
+		{"cancellation not supported", "safe", func(tg *rig) { tg.g.settings.CanCancel = false }, 0},
+		{"client times out soon", "safe", func(tg *rig) {
+			for _, request := range tg.g.requests {
+				request.deadline = tg.now + seconds(cancelAfterLatencies*0.1) + 150*ms
 			}
 		}, 0},
 	} {
-		r, id, b := quick(t, 3, c.class)
-		c.change(r)
-		if as := r.do(ProbeResult{}); len(as) != 0 {
-			t.Errorf("%s: at once: %+v", c.name, as)
+		tg, id, backend := startAttempt(t, 3, test.class)
+		test.change(tg)
+		if actions := tg.do(ProbeResult{}); len(actions) != 0 {
+			t.Errorf("%s: got actions %+v at once, want none", test.name, actions)
 		}
-		off := cancels(r.wait())
-		if len(off) != c.want {
-			t.Errorf("%s: %d attempts called off, want %d", c.name, len(off), c.want)
+		cancelled := cancels(tg.waitUntilSlow())
+		if len(cancelled) != test.want {
+			t.Errorf("%s: got %d cancelled attempts, want %d", test.name, len(cancelled), test.want)
 		}
-		if n := len(r.g.classes[c.class].firstAttempts); n != 0 {
-			t.Errorf("%s: %d attempts are still looked at", c.name, n)
+		if n := len(tg.g.classes[test.class].firstAttempts); n != 0 {
+			t.Errorf("%s: got %d first attempts that are still checked, want 0", test.name, n)
 		}
-		if len(off) == 0 {
+		if len(cancelled) == 0 {
 			continue
 		}
-		again := sends(r.do(Outcome{Request: id, Backend: b, Result: Cancelled, Duration: second}))
-		if len(again) != 1 || again[0].Backend == b || held(r.g) != 1 {
-			t.Fatalf("%s: then %+v with %d slots held, want one more attempt elsewhere, in one slot", c.name, again, held(r.g))
+		repeats := sends(tg.do(Outcome{Request: id, Backend: backend, Result: Cancelled, Duration: second}))
+		if len(repeats) != 1 || repeats[0].Backend == backend || held(tg.g) != 1 {
+			t.Fatalf("%s: got sends %+v with %d slots in use, want one send to another backend, in one slot",
+				test.name, repeats, held(tg.g))
 		}
-		if off := cancels(r.wait()); len(off) != 0 {
-			t.Errorf("%s: called off again", c.name)
+		if cancelled := cancels(tg.waitUntilSlow()); len(cancelled) != 0 {
+			t.Errorf("%s: the second attempt was cancelled too, want it left in flight", test.name)
 		}
-		r.outcome(id, again[0].Backend, 1, Answered)
-		if held(r.g) != 0 || len(r.g.requests) != 0 {
-			t.Errorf("%s: %d slots and %d requests are left", c.name, held(r.g), len(r.g.requests))
+		tg.outcome(id, repeats[0].Backend, 1, Answered)
+		if held(tg.g) != 0 || len(tg.g.requests) != 0 {
+			t.Errorf("%s: got %d slots in use and %d requests at the end, want none",
+				test.name, held(tg.g), len(tg.g.requests))
 		}
 	}
 }
 
-// In a jam everything waits. What is cancelled then is work done twice, so it stays a small share of the sends.
-func TestFewAttemptsAreCalledOffInAJam(t *testing.T) {
-	r, _, _ := quick(t, 40, "safe")
-	const more = 320
-	for range more {
-		r.ask("safe", "wide", 1)
+// In an overload all attempts take long. Each that is cancelled is work done twice, so the cancellations are limited to
+// a small share of the sends.
+func TestFewAttemptsAreCancelledInAnOverload(t *testing.T) {
+	tg, _, _ := startAttempt(t, 40, "safe")
+	const requests = 320
+	for range requests {
+		tg.ask("safe", "wide", 1)
 	}
-	if n, most := len(cancels(r.wait())), int(maxCancelBudget); n > most || n == 0 {
-		t.Errorf("%d of %d attempts called off at once, want some, and %d at most", n, more, most)
+	if got, maxCancels := len(cancels(tg.waitUntilSlow())), int(maxCancelBudget); got > maxCancels || got == 0 {
+		t.Errorf("got %d of %d attempts cancelled at once, want at least 1 and at most %d", got, requests, maxCancels)
 	}
 }
 
-// One silent connection says little of its backend. A backend that leaves one attempt after another unanswered is
-// left alone for longer each time, and an answer clears it.
-func TestBackendsAreStruckHarderEachTime(t *testing.T) {
-	r, id, at := quick(t, 2, "safe")
-	b := r.g.backends[at]
-	slow := b.slowness
-	last := overdueThreshold
+// A single silent connection says little about its backend. A backend that leaves one attempt after another unanswered
+// gets a higher outlier penalty each time, and an answer clears it.
+func TestOutlierPenaltyGrowsUntilAnAnswer(t *testing.T) {
+	tg, id, backendID := startAttempt(t, 2, "safe")
+	backend := tg.g.backends[backendID]
+	slowness := backend.slowness
+	lastOverdue := overdueThreshold
 	for n := range 3 {
-		r.wait()
-		r.do(Outcome{Request: id, Backend: at, Result: Cancelled, Duration: second})
-		if b.overdue <= last || b.slowness != slow {
-			t.Errorf("after %d strikes: owes %v, not over %v, or slowness %v is not %v", n+1, b.overdue, last, b.slowness, slow)
+		tg.waitUntilSlow()
+		tg.do(Outcome{Request: id, Backend: backendID, Result: Cancelled, Duration: second})
+		if backend.overdue <= lastOverdue || backend.slowness != slowness {
+			t.Errorf("after %d cancelled attempts: got overdue %v, want more than %v; got slowness %v, want %v",
+				n+1, backend.overdue, lastOverdue, backend.slowness, slowness)
 		}
-		last = b.overdue
-		for o := range r.g.ranking.All() { // the rest is shut, so that the next attempt goes there as well
-			o.backoffUntil = r.now
-			if o != b {
-				o.backoffUntil = r.now + second
+		lastOverdue = backend.overdue
+		// Back off from the other backend, so that the next attempt goes to the same one.
+		for other := range tg.g.ranking.All() {
+			other.backoffUntil = tg.now
+			if other != backend {
+				other.backoffUntil = tg.now + second
 			}
 		}
-		next, as := r.ask("safe", "wide", 1)
-		if len(sends(as)) != 1 || sends(as)[0].Backend != at {
-			t.Fatalf("the next attempt: %+v, want it at backend %d", as, at)
+		nextID, actions := tg.ask("safe", "wide", 1)
+		if len(sends(actions)) != 1 || sends(actions)[0].Backend != backendID {
+			t.Fatalf("next attempt: got %+v, want one send to backend %d", actions, backendID)
 		}
-		id = next
+		id = nextID
 	}
-	r.outcome(id, at, 0, Answered)
-	if b.outlierCount != 0 || b.overdue != 0 {
-		t.Errorf("after an answer: %d strikes, owes %v", b.outlierCount, b.overdue)
+	tg.outcome(id, backendID, 0, Answered)
+	if backend.outlierCount != 0 || backend.overdue != 0 {
+		t.Errorf("after an answer: got outlierCount %d and overdue %v, want 0 and 0",
+			backend.outlierCount, backend.overdue)
 	}
 }
--- a/internal/gateway/listing_test.go
+++ b/internal/gateway/listing_test.go
@@ -6,36 +6,37 @@
 	"testing"
 )
 
-// Whatever lists say, whole, half, stale, doubled or back and forth, and whatever is out meanwhile: what the
-// gateway holds of them is what a plain reading of each list gives, and what is counted is what a look at all of
-// them counts.
-func TestListsAreKeptWhateverTheySay(t *testing.T) {
+// Random updates of the list of backends, changes and full lists, with stale, repeated and contradictory entries, come
+// while attempts are in flight. After each, the gateway has the backends that the updates read one by one give, and
+// its counts of them are right.
+func TestRandomListUpdatesAreApplied(t *testing.T) {
 	const backends, steps = 40, 3000
 	rng := rand.New(rand.NewPCG(5, 6))
-	r := newRig(t, testSettings(), fleet(backends/2)...)
+	tg := newRig(t, testSettings(), fleet(backends/2)...)
 	want := map[BackendID]BackendInfo{}
 	for _, info := range fleet(backends / 2) {
 		want[info.ID] = info
 	}
-	type out struct {
+	type sentAttempt struct {
 		Send
-		try int
+		attempt int
 	}
-	var sent []out
+	var inFlight []sentAttempt
 	for step := range steps {
-		r.now += 10 * ms
+		tg.now += 10 * ms
 		if rng.IntN(3) == 0 {
-			_, actions := r.ask("safe", "wide", 1)
-			for _, s := range sends(actions) {
-				sent = append(sent, out{s, 0})
+			_, actions := tg.ask("safe", "wide", 1)
+			for _, send := range sends(actions) {
+				inFlight = append(inFlight, sentAttempt{send, 0})
 			}
 		}
-		if len(sent) > 0 && rng.IntN(4) == 0 {
-			i := rng.IntN(len(sent))
-			o := sent[i]
-			sent = slices.Delete(sent, i, i+1)
-			for _, s := range sends(r.outcome(o.Request, o.Backend, o.try, []Result{Answered, NoConnection, Rejected}[rng.IntN(3)])) {
-				sent = append(sent, out{s, o.try + 1})
+		if len(inFlight) > 0 && rng.IntN(4) == 0 {
+			i := rng.IntN(len(inFlight))
+			ended := inFlight[i]
+			inFlight = slices.Delete(inFlight, i, i+1)
+			for _, send := range sends(tg.outcome(ended.Request, ended.Backend, ended.attempt,
+				[]Result{Answered, NoConnection, Rejected}[rng.IntN(3)])) {
+				inFlight = append(inFlight, sentAttempt{send, ended.attempt + 1})
 			}
 		}
 		list := BackendList{Kind: ListChanges}
@@ -46,98 +47,100 @@
 		for range rng.IntN(6) {
 			info := BackendInfo{ID: BackendID(1 + rng.IntN(backends)), State: BackendState(rng.IntN(3)), Weight: 1}
 			if rng.IntN(3) == 0 {
-				info.Started = r.now
+				info.Started = tg.now
 			}
 			list.Backends = append(list.Backends, info)
 			want[info.ID] = info
 		}
-		r.do(list)
-		checkListing(t, r.g, want, step)
+		tg.do(list)
+		checkBackends(t, tg.g, want, step)
 	}
 }
 
-// checkListing compares what the gateway holds with what the lists said last of each backend.
-func checkListing(t *testing.T, g *Gateway, want map[BackendID]BackendInfo, step int) {
+// checkBackends compares the gateway's backends, and its counts of them, with the last listed state of each.
+func checkBackends(t *testing.T, g *Gateway, want map[BackendID]BackendInfo, step int) {
 	t.Helper()
-	ready, cold, warm := 0, 0, 0.0
-	for b := range g.ranking.All() {
-		if info, listed := want[b.ID]; b.State != Gone && (!listed || info.State != b.State) {
-			t.Fatalf("step %d: backend %d is %d here, %+v in the lists", step, b.ID, b.State, info)
+	ready, cold, capacity := 0, 0, 0.0
+	for backend := range g.ranking.All() {
+		if info, listed := want[backend.ID]; backend.State != Gone && (!listed || info.State != backend.State) {
+			t.Fatalf("step %d: backend %d: got state %d, want that of %+v", step, backend.ID, backend.State, info)
 		}
-		if b.State == Gone && b.inFlight == 0 || g.backends[b.ID] != b {
-			t.Fatalf("step %d: backend %d is still here", step, b.ID)
+		if backend.State == Gone && backend.inFlight == 0 || g.backends[backend.ID] != backend {
+			t.Fatalf("step %d: got backend %d in the ranking, want it deleted", step, backend.ID)
 		}
-		if b.State == Ready {
+		if backend.State == Ready {
 			ready++
-			warm += g.capacityShare(b)
-			cold += boolToInt(b.cold)
+			capacity += g.capacityShare(backend)
+			cold += boolToInt(backend.cold)
 		}
 	}
-	listed := 0
+	wantReady := 0
 	for _, info := range want {
-		listed += boolToInt(info.State == Ready)
+		wantReady += boolToInt(info.State == Ready)
 	}
-	if ready != listed || g.ranking.Len()-g.unavailable.Len() != ready || g.ranking.Len() != len(g.backends) {
-		t.Fatalf("step %d: %d ready, %d in the lists, %d counted; %d in order of %d", step, ready, listed,
-			g.ranking.Len()-g.unavailable.Len(), g.ranking.Len(), len(g.backends))
+	if ready != wantReady || g.ranking.Len()-g.unavailable.Len() != ready || g.ranking.Len() != len(g.backends) {
+		t.Fatalf("step %d: got %d ready backends, want %d; got a count of %d; got %d in the ranking, want %d",
+			step, ready, wantReady, g.ranking.Len()-g.unavailable.Len(), g.ranking.Len(), len(g.backends))
 	}
-	colds, sum := 0, float64(ready)
-	g.coldBackends.Retain(func(b *trackedBackend) bool {
-		if b.State == Ready && g.backends[b.ID] == b {
-			sum += g.capacityShare(b) - 1
-			colds += boolToInt(b.cold)
+	coldCount, capacitySum := 0, float64(ready)
+	g.coldBackends.Retain(func(backend *trackedBackend) bool {
+		if backend.State == Ready && g.backends[backend.ID] == backend {
+			capacitySum += g.capacityShare(backend) - 1
+			coldCount += boolToInt(backend.cold)
 		}
 		return true
 	})
-	if colds != cold || sum < warm-1e-9 || sum > warm+1e-9 {
-		t.Fatalf("step %d: %d cold, %d kept as such; warmth %v, kept %v", step, cold, colds, warm, sum)
+	if coldCount != cold || capacitySum < capacity-1e-9 || capacitySum > capacity+1e-9 {
+		t.Fatalf("step %d: want %d cold backends, got %d in coldBackends; want capacity %v, got %v from coldBackends",
+			step, cold, coldCount, capacity, capacitySum)
 	}
 }
 
-// A request costs a look at mostLooked backends however many are listed, and at each that the gateway keeps to where
-// these are no more than that.
-func TestLooksAreBounded(t *testing.T) {
-	looks := func(backends int) (most int) {
-		r := newRig(t, testSettings(), fleet(backends)...)
-		r.g.sendRate = 1000
+// At most maxCandidates backends are examined for a request, however many are listed, and the whole subset if it is no
+// larger than that.
+func TestExaminedBackendsAreBounded(t *testing.T) {
+	examined := func(backends int) (maxExamined int) {
+		tg := newRig(t, testSettings(), fleet(backends)...)
+		tg.g.sendRate = 1000
 		for range 50 {
-			r.now += ms
-			_, actions := r.ask("safe", "wide", 1)
-			s := sends(actions)[0]
-			looked := 0
-			for b := range r.g.ranking.All() {
-				looked += boolToInt(b.overdueAt == r.now)
+			tg.now += ms
+			_, actions := tg.ask("safe", "wide", 1)
+			send := sends(actions)[0]
+			count := 0
+			for backend := range tg.g.ranking.All() {
+				count += boolToInt(backend.overdueAt == tg.now)
 			}
-			most = max(most, looked)
-			r.outcome(s.Request, s.Backend, 0, Answered)
+			maxExamined = max(maxExamined, count)
+			tg.outcome(send.Request, send.Backend, 0, Answered)
 		}
-		return most
+		return maxExamined
 	}
 	for _, backends := range []int{1, 40, maxCandidates, 4 * maxCandidates, 20 * maxCandidates} {
-		if got, want := looks(backends), min(backends, maxCandidates); got != want {
-			t.Errorf("%d backends: %d looked at for a request, want %d", backends, got, want)
+		if got, want := examined(backends), min(backends, maxCandidates); got != want {
+			t.Errorf("%d backends: got %d examined for a request, want %d", backends, got, want)
 		}
 	}
 }
 
-// Of the backends that a gateway keeps to all are used, also where it looks at a part of them each time.
-func TestAllKeptBackendsAreUsed(t *testing.T) {
-	const kept, requests = 2 * maxCandidates, 20 * 2 * maxCandidates
-	r := newRig(t, testSettings(), fleet(4*kept)...)
-	used := map[BackendID]int{}
+// All backends of the subset are used, even if only a part of them is examined for each request.
+func TestAllBackendsOfTheSubsetAreUsed(t *testing.T) {
+	const subset, requests = 2 * maxCandidates, 20 * 2 * maxCandidates
+	tg := newRig(t, testSettings(), fleet(4*subset)...)
+	uses := map[BackendID]int{}
 	for range requests {
-		r.now += second / (kept / 4) // so that known() is kept
-		r.g.sendRate = kept / 4
-		_, actions := r.ask("safe", "wide", 1)
-		s := sends(actions)[0]
-		used[s.Backend]++
-		r.outcome(s.Request, s.Backend, 0, Answered)
+		tg.now += second / (subset / 4) // at this rate of sends, subsetSize returns subset
+		tg.g.sendRate = subset / 4
+		_, actions := tg.ask("safe", "wide", 1)
+		send := sends(actions)[0]
+		uses[send.Backend]++
+		tg.outcome(send.Request, send.Backend, 0, Answered)
 	}
-	least := requests
-	for _, n := range used {
-		least = min(least, n)
+	minUses := requests
+	for _, n := range uses {
+		minUses = min(minUses, n)
 	}
-	if len(used) != kept || least < requests/kept/3 {
-		t.Errorf("%d backends used, the least of them %d times; want %d and %d on average", len(used), least, kept, requests/kept)
+	if len(uses) != subset || minUses < requests/subset/3 {
+		t.Errorf("got %d backends used, each at least %d times; want %d, used %d times on average",
+			len(uses), minUses, subset, requests/subset)
 	}
 }
--- a/internal/gateway/quota_test.go
+++ b/internal/gateway/quota_test.go
@@ -6,212 +6,227 @@
 	"time"
 )
 
-// quotaRig has one customer of the plan "rated": 2 units a second, a burst of 4 units or 200 percent-seconds.
-func quotaRig(t *testing.T) (*rig, *customerState) {
-	r := newRig(t, testSettings(), fleet(2)...)
-	r.ask("safe", "rated", 5)
-	return r, r.g.customers[5]
+// quotaRig returns a gateway with one customer of the plan "rated": a rate of 2 units per second and a burst of 4
+// units, which is 200 percent-seconds.
+func newQuotaGateway(t *testing.T) (*rig, *customerState) {
+	tg := newRig(t, testSettings(), fleet(2)...)
+	tg.ask("safe", "rated", 5)
+	return tg, tg.g.customers[5]
 }
 
-func (r *rig) reading(c *customerState, use float64) {
-	r.g.now = r.now
-	r.g.onReading(c, use)
+// handleReading passes a reading of the meter, in percent of the rate, to the gateway.
+func (tg *rig) handleReading(customer *customerState, usagePercent float64) {
+	tg.g.now = tg.now
+	tg.g.onReading(customer, usagePercent)
 }
 
-func TestOneReadingCountsOnceAPeriod(t *testing.T) {
-	r, c := quotaRig(t)
-	r.now += 10 * second
+func TestOneReadingCountsPerPeriod(t *testing.T) {
+	tg, customer := newQuotaGateway(t)
+	tg.now += 10 * second
 	for range 5 {
-		r.reading(c, 300)
-		r.now += 50 * ms
+		tg.handleReading(customer, 300)
+		tg.now += 50 * ms
 	}
-	if c.meteredLevel != 0 { // 200 + 100 - 300
-		t.Errorf("store %v after one reading of 300, repeated; want 0", c.meteredLevel)
+	if customer.meteredLevel != 0 { // 200 + 100 - 300
+		t.Errorf("got level %v after a reading of 300 that was repeated, want 0", customer.meteredLevel)
 	}
-	r.now += second
+	tg.now += second
 	for range 3 {
-		r.reading(c, 60)
+		tg.handleReading(customer, 60)
 	}
-	if math.Abs(c.meteredLevel-65) > 30 { // the 0.25 s between the periods fill it too
-		t.Errorf("store %v after one reading of 60, want about 65", c.meteredLevel)
+	if math.Abs(customer.meteredLevel-65) > 30 { // the 0.25 s between the periods also refill the bucket
+		t.Errorf("got level %v after a reading of 60, want 35 to 95", customer.meteredLevel)
 	}
 }
 
-func TestPassShareFollowsTheReadings(t *testing.T) {
-	r, c := quotaRig(t)
-	for _, step := range []struct{ use, want float64 }{{500, 0.2}, {200, 0.1}, {0, 1}} {
-		r.now += second
-		c.meteredLevel, c.meteredUntil = 0, r.now-(1+readingDelay)*second // as a period ago
-		r.reading(c, step.use)
-		if math.Abs(c.passProbability-step.want) > 0.01 {
-			t.Errorf("after a reading of %v the pass share is %v, want %v", step.use, c.passProbability, step.want)
+func TestPassProbabilityFollowsTheReadings(t *testing.T) {
+	tg, customer := newQuotaGateway(t)
+	for _, step := range []struct{ usagePercent, want float64 }{{500, 0.2}, {200, 0.1}, {0, 1}} {
+		tg.now += second
+		customer.meteredLevel, customer.meteredUntil = 0, tg.now-(1+readingDelay)*second // as one period earlier
+		tg.handleReading(customer, step.usagePercent)
+		if math.Abs(customer.passProbability-step.want) > 0.01 {
+			t.Errorf("after a reading of %v: got pass probability %v, want %v",
+				step.usagePercent, customer.passProbability, step.want)
 		}
 	}
 }
 
-func TestStoreStaysBetweenNothingAndTheBurst(t *testing.T) {
-	r, c := quotaRig(t)
-	for _, use := range []float64{9000, 0, 0, 0, 700, 100, 0, 0, 0, 0, 0} {
-		r.now += second
-		r.reading(c, use)
-		if c.meteredLevel < 0 || c.meteredLevel > c.capacity() {
-			t.Errorf("store %v after a reading of %v", c.meteredLevel, use)
+func TestMeteredLevelStaysBetweenZeroAndTheBurst(t *testing.T) {
+	tg, customer := newQuotaGateway(t)
+	for _, usagePercent := range []float64{9000, 0, 0, 0, 700, 100, 0, 0, 0, 0, 0} {
+		tg.now += second
+		tg.handleReading(customer, usagePercent)
+		if customer.meteredLevel < 0 || customer.meteredLevel > customer.capacity() {
+			t.Errorf("got level %v after a reading of %v, want one from 0 to the burst",
+				customer.meteredLevel, usagePercent)
 		}
 	}
-	if c.meteredLevel != c.capacity() {
-		t.Errorf("store %v after five idle periods, want the burst", c.meteredLevel)
+	if customer.meteredLevel != customer.capacity() {
+		t.Errorf("got level %v after five idle periods, want the burst", customer.meteredLevel)
 	}
 }
 
-// Readings come seconds late: a burst used to pass whole, at every gateway, before one told of it.
-func TestABurstIsHeldBeforeAnyReading(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(2)...)
-	passed := 0
+// Readings come seconds late. Before the level was projected, a whole burst passed at every gateway before a reading
+// showed it.
+func TestBurstIsLimitedBeforeAnyReading(t *testing.T) {
+	tg := newRig(t, testSettings(), fleet(2)...)
+	sent := 0
 	for range 20 {
-		_, as := r.ask("safe", "rated", 6)
-		passed += len(sends(as))
+		_, actions := tg.ask("safe", "rated", 6)
+		sent += len(sends(actions))
 	}
-	if passed < 1 || passed > 2 { // the burst of 4 over two gateways
-		t.Errorf("%d of 20 passed at once, want 1 or 2", passed)
+	if sent < 1 || sent > 2 { // the burst of 4 over two gateways
+		t.Errorf("got %d of 20 requests sent at once, want 1 or 2", sent)
 	}
 }
 
-// With an empty store f alone once swung between nothing and a flood; the projection holds there too.
-func TestProjectionBindsWhereTheStoreIsEmpty(t *testing.T) {
-	r, c := quotaRig(t)
-	r.now += second
-	c.meteredLevel, c.meteredUntil, c.passProbability, c.recentSends = 0, r.now, 1, nil
-	_, as := r.ask("safe", "rated", 5)
-	if len(sends(as)) != 0 {
-		t.Error("passed with nothing in the store because f stood at 1")
+// The projected level also limits a customer whose bucket is empty. With the pass probability alone, the requests that
+// passed once swung between none and a flood.
+func TestProjectedLevelAppliesToAnEmptyBucket(t *testing.T) {
+	tg, customer := newQuotaGateway(t)
+	tg.now += second
+	customer.meteredLevel, customer.meteredUntil, customer.passProbability, customer.recentSends = 0, tg.now, 1, nil
+	_, actions := tg.ask("safe", "rated", 5)
+	if len(sends(actions)) != 0 {
+		t.Error("got a send with an empty bucket and a pass probability of 1, want none")
 	}
 }
 
-// A customer refused so much that readings stop must get its quota back by time alone.
-func TestWithoutReadingsTheStoreFills(t *testing.T) {
-	r, c := quotaRig(t)
-	r.now += second
-	r.reading(c, 900)
+// A customer of whom so much is rejected that no more readings come must get its quota back with time alone.
+func TestBucketRefillsWithoutReadings(t *testing.T) {
+	tg, customer := newQuotaGateway(t)
+	tg.now += second
+	tg.handleReading(customer, 900)
 	for range 200 {
-		r.ask("safe", "rated", 5)
+		tg.ask("safe", "rated", 5)
 	}
-	c.passProbability = 0.001
-	r.now += 8 * second
-	_, as := r.ask("safe", "rated", 5)
-	if len(sends(as)) != 1 {
-		t.Error("still refused eight seconds later")
+	customer.passProbability = 0.001
+	tg.now += 8 * second
+	_, actions := tg.ask("safe", "rated", 5)
+	if len(sends(actions)) != 1 {
+		t.Error("got no send eight seconds later, want one")
 	}
-	if got := len(c.recentSends); got > 10 {
-		t.Errorf("%d draws kept", got)
+	if got := len(customer.recentSends); got > 10 {
+		t.Errorf("got %d recent sends kept, want at most 10", got)
 	}
 }
 
-// The margin is a part of the burst: half a request used to bar the largest requests of small plans.
-func TestLargestRequestsPassAFullStore(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(2)...)
-	as := r.do(Request{ID: 900, Customer: 8, Class: "safe", Plan: "rated", Units: 3.5, Timeout: second, GatewayCount: 2})
-	if len(sends(as)) != 1 {
-		t.Error("a request of 3.5 units refused with a full store of 4")
+// The margin of the projected level is a share of the burst. When it was half a request, small plans rejected the
+// largest requests even with a full bucket.
+func TestLargestRequestsPassWithAFullBucket(t *testing.T) {
+	tg := newRig(t, testSettings(), fleet(2)...)
+	actions := tg.do(Request{ID: 900, Customer: 8, Class: "safe", Plan: "rated", Units: 3.5, Timeout: second,
+		GatewayCount: 2})
+	if len(sends(actions)) != 1 {
+		t.Error("got no send for a request of 3.5 units with a full bucket of 4, want one")
 	}
 }
 
-func TestCustomerOfAPlanWithoutRate(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(2)...)
-	_, as := r.ask("safe", "open", 4)
-	c := r.g.customers[4]
-	r.now += second
-	r.reading(c, 400)
-	if len(sends(as)) != 1 || c.passProbability > 0.26 || time.Duration(c.meteredLevel) != 0 {
-		t.Errorf("sends %v, pass share %v, store %v", sends(as), c.passProbability, c.meteredLevel)
+func TestReadingsLimitAPlanWithoutARate(t *testing.T) {
+	tg := newRig(t, testSettings(), fleet(2)...)
+	_, actions := tg.ask("safe", "open", 4)
+	customer := tg.g.customers[4]
+	tg.now += second
+	tg.handleReading(customer, 400)
+	if len(sends(actions)) != 1 || customer.passProbability > 0.26 || time.Duration(customer.meteredLevel) != 0 {
+		t.Errorf("got sends %v, pass probability %v and level %v, want one send, at most 0.26 and 0",
+			sends(actions), customer.passProbability, customer.meteredLevel)
 	}
 }
 
-// Answers repeat a reading for up to a period, and readings jitter: a repeat is told by its value, so that a new one
-// may come early. One rule by time alone lost 0.06 on a quiet day with a period of two seconds.
-func TestARepeatIsToldByItsValue(t *testing.T) {
-	r, c := quotaRig(t)
-	r.now += 10 * second
-	r.reading(c, 40)
-	counted := c.lastReadingAt
-	r.now += 800 * ms
-	if r.reading(c, 40); c.lastReadingAt != counted {
-		t.Error("the same value within a period was counted again")
-	}
-	if r.reading(c, 70); c.lastReadingAt == counted {
-		t.Error("a new value after most of a period was not counted")
+// Answers repeat a reading for up to a period, and readings jitter. A repeat is recognised by its value, so that a new
+// reading may come early. A rule by time alone lowered the result of a quiet day by 0.06, with a period of two seconds.
+func TestRepeatedReadingsAreRecognisedByTheirValue(t *testing.T) {
+	tg, customer := newQuotaGateway(t)
+	tg.now += 10 * second
+	tg.handleReading(customer, 40)
+	countedAt := customer.lastReadingAt
+	tg.now += 800 * ms
+	if tg.handleReading(customer, 40); customer.lastReadingAt != countedAt {
+		t.Error("the same value within a period was counted again, want it ignored")
+	}
+	if tg.handleReading(customer, 70); customer.lastReadingAt == countedAt {
+		t.Error("a new value after most of a period was ignored, want it counted")
 	}
 }
 
-// Answers tell the meter's periods with jitter and out of order. However often readings differ, one period counts
-// once, and what was counted last ended before now.
+// Answers report the meter's periods with jitter and out of order. However often the readings differ, one is counted
+// per period, and the end of the last counted period is not in the future.
 func TestReadingsOutOfOrderCountOncePerPeriod(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(2)...)
-	c := r.g.customerFor(Request{Customer: 1, Units: 1, GatewayCount: 1}, r.g.plans["rated"])
-	start := r.now
+	tg := newRig(t, testSettings(), fleet(2)...)
+	customer := tg.g.customerFor(Request{Customer: 1, Units: 1, GatewayCount: 1}, tg.g.plans["rated"])
+	start := tg.now
 	counted := 0
 	for i := range 400 {
-		r.now += 50 * ms
-		r.g.now = r.now
-		before := c.meteredTime
-		r.g.onReading(c, float64(40+i%2))
-		if c.meteredTime != before {
+		tg.now += 50 * ms
+		tg.g.now = tg.now
+		meteredTime := customer.meteredTime
+		tg.g.onReading(customer, float64(40+i%2))
+		if customer.meteredTime != meteredTime {
 			counted++
 		}
-		if c.meteredUntil > r.now && r.now-start > second { // a new customer's first reading covers its first period
-			t.Fatalf("after %v the store is that of %v ahead", r.now-start, c.meteredUntil-r.now)
+		// The first reading of a new customer covers its first period.
+		if customer.meteredUntil > tg.now && tg.now-start > second {
+			t.Fatalf("after %v: got meteredUntil %v ahead of the clock, want it not in the future",
+				tg.now-start, customer.meteredUntil-tg.now)
 		}
 	}
-	if least, most := 16, 21; counted < least || counted > most {
-		t.Errorf("%d readings counted in 20 periods", counted)
+	if minCounted, maxCounted := 16, 21; counted < minCounted || counted > maxCounted {
+		t.Errorf("got %d readings counted in 20 periods, want 16 to 21", counted)
 	}
 }
 
-// manyDoorsLetIn plays one customer of the plan "rated" that comes to each of 40 gateways every 4 s, one gateway
-// after another, so that it asks for 10 units a second. It tells the share let in from the fifth second on. Answers
-// tell of its use where use is 0 or more.
-func manyDoorsLetIn(t *testing.T, use float64) float64 {
-	const doors = 40
-	s := testSettings()
-	s.Gateways = doors
-	rigs := make([]*rig, doors)
-	for i := range rigs {
-		s.Index = i
-		rigs[i] = newRig(t, s, fleet(2)...)
-	}
-	asked, let := 0, 0
+// admittedShare returns the share of the requests of one customer of the plan "rated" that is admitted from the fifth
+// second on. The customer comes to each of 40 gateways every 4 s, one gateway after another, and so requests 10 units
+// per second, five times its rate. Answers report usagePercent as its use if that is 0 or more, else none.
+func admittedShare(t *testing.T, usagePercent float64) float64 {
+	const gateways = 40
+	settings := testSettings()
+	settings.Gateways = gateways
+	testGateways := make([]*rig, gateways)
+	for i := range testGateways {
+		settings.Index = i
+		testGateways[i] = newRig(t, settings, fleet(2)...)
+	}
+	requested, admitted := 0, 0
 	for n := range 300 {
-		r := rigs[n%doors]
-		r.now = 1000*second + time.Duration(n)*100*ms
-		r.next++
-		as := r.do(Request{ID: r.next, Customer: 5, Class: "safe", Plan: "rated", Units: 1, Timeout: second, GatewayCount: doors})
+		tg := testGateways[n%gateways]
+		tg.now = 1000*second + time.Duration(n)*100*ms
+		tg.next++
+		actions := tg.do(Request{ID: tg.next, Customer: 5, Class: "safe", Plan: "rated", Units: 1,
+			Timeout: second, GatewayCount: gateways})
 		if n >= 50 {
-			asked, let = asked+1, let+len(sends(as))
+			requested, admitted = requested+1, admitted+len(sends(actions))
 		}
-		for _, a := range sends(as) {
-			r.do(Outcome{Request: a.Request, Backend: a.Backend, Duration: 50 * ms, Final: true, HasUsage: use >= 0, UsagePercent: use})
+		for _, send := range sends(actions) {
+			tg.do(Outcome{Request: send.Request, Backend: send.Backend, Duration: 50 * ms, Final: true,
+				HasUsage: usagePercent >= 0, UsagePercent: usagePercent})
 		}
 	}
-	return float64(let) / float64(asked)
+	return float64(admitted) / float64(requested)
 }
 
-// A gateway of many that meets a customer again and again can't see how much it asks elsewhere, but it would hardly
-// meet one of small use so often. Where the readings tell that the use is small, they count.
-func TestOneOfManyDoorsTakesACustomerToAskMuch(t *testing.T) {
-	for doors, least := range map[int]float64{2: 0, 40: 150} {
-		s := testSettings()
-		s.Gateways = doors
-		r := newRig(t, s, fleet(2)...)
-		r.do(Request{ID: 1, Customer: 5, Class: "safe", Plan: "rated", Units: 1, Timeout: second, GatewayCount: doors})
-		c := r.g.customers[5]
-		steady, each := c.otherUse(r.now)
-		if use := steady + each*priorUsePercent; use < least || doors == 2 && use > 60 {
-			t.Errorf("%d doors: the others are taken to use %.0f in 100 of the rate", doors, use)
+// One of many gateways cannot see what a customer requests elsewhere, but it would rarely meet one of low use as often
+// as this one. So it assumes a high use, unless readings show that the use is low.
+func TestOneOfManyGatewaysAssumesHighUse(t *testing.T) {
+	for gateways, minUse := range map[int]float64{2: 0, 40: 150} {
+		settings := testSettings()
+		settings.Gateways = gateways
+		tg := newRig(t, settings, fleet(2)...)
+		tg.do(Request{ID: 1, Customer: 5, Class: "safe", Plan: "rated", Units: 1, Timeout: second,
+			GatewayCount: gateways})
+		customer := tg.g.customers[5]
+		steady, perSend := customer.otherUse(tg.now)
+		if use := steady + perSend*priorUsePercent; use < minUse || gateways == 2 && use > 60 {
+			t.Errorf("%d gateways: got assumed use %.0f%% of the others, want at most 60%% for 2, 150%% or more for 40",
+				gateways, use)
 		}
 	}
-	if let := manyDoorsLetIn(t, -1); let > 0.95 {
-		t.Errorf("%.2f of what is asked at five times the rate was let in, though nothing tells that the use is small", let)
+	if share := admittedShare(t, -1); share > 0.95 {
+		t.Errorf("no readings: got %.2f of the requests at five times the rate admitted, want at most 0.95", share)
 	}
-	if let := manyDoorsLetIn(t, 20); let < 0.85 {
-		t.Errorf("%.2f was let in of a customer that uses 20 in 100 by the readings", let)
+	if share := admittedShare(t, 20); share < 0.85 {
+		t.Errorf("readings of 20%%: got %.2f of the requests admitted, want at least 0.85", share)
 	}
 }
--- a/internal/gateway/reserves_test.go
+++ b/internal/gateway/reserves_test.go
@@ -5,45 +5,49 @@
 )
 
 func TestTierBoundaryIsTheRecentMedian(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(1)...)
+	tg := newRig(t, testSettings(), fleet(1)...)
 	for range medianWindow {
-		r.g.isHighValue(3)
+		tg.g.isHighValue(3)
 	}
-	r.now += second
-	r.do(Timer{Token: 0})
-	if r.g.isHighValue(3) || r.g.isHighValue(1) || !r.g.isHighValue(5) {
-		t.Error("high is what tops the recent median, a tie is low")
+	tg.now += second
+	tg.do(Timer{Token: 0})
+	if tg.g.isHighValue(3) || tg.g.isHighValue(1) || !tg.g.isHighValue(5) {
+		t.Error("got another tier for 3, 1 or 5 at a median of 3, want low, low and high")
 	}
 	for range medianWindow {
-		r.g.isHighValue(9)
+		tg.g.isHighValue(9)
 	}
-	r.do(Timer{Token: 0})
-	if r.g.isHighValue(5) || len(r.g.recentValues) != medianWindow {
-		t.Errorf("the median does not follow, or %d worths are kept", len(r.g.recentValues))
+	tg.do(Timer{Token: 0})
+	if tg.g.isHighValue(5) || len(tg.g.recentValues) != medianWindow {
+		t.Errorf("got 5 in the high tier at a median of 9, or %d values kept; want the low tier and medianWindow",
+			len(tg.g.recentValues))
 	}
 }
 
-func TestOwnReserveThenPoolThenSubrating(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(1)...)
-	g := r.g
-	g.concurrencyLimit, g.partitionSize = 5*minExactSlots, [3]float64{1 * minExactSlots, 1 * minExactSlots, 3 * minExactSlots}
-	for range int(minExactSlots) - 1 { // all but the last slot of each reserve, and of the pool all but three by marked ones
+func TestSlotsComeFromTheReserveThenThePoolThenSubrating(t *testing.T) {
+	tg := newRig(t, testSettings(), fleet(1)...)
+	g := tg.g
+	g.concurrencyLimit, g.partitionSize =
+		5*minExactSlots, [3]float64{1 * minExactSlots, 1 * minExactSlots, 3 * minExactSlots}
+	// All but the last slot of each reserve are in use, and all but three of the pool, none of these by a low request
+	// that could be marked.
+	for range int(minExactSlots) - 1 {
 		g.inUse[highReserve]++
 		g.inUse[lowReserve]++
 	}
 	g.inUse[sharedPool] = 3*minExactSlots - 3
-	var held []*heldSlot
-	take := func(high bool, want int) {
+	var slots []*heldSlot
+	take := func(highValue bool, want int) {
 		t.Helper()
-		s := g.takeSlot(high)
+		slot := g.takeSlot(highValue)
 		if got := func() int {
-			if s == nil {
+			if slot == nil {
 				return -1
 			}
-			held = append(held, s)
-			return s.partition
+			slots = append(slots, slot)
+			return slot.partition
 		}(); got != want {
-			t.Fatalf("slot of part %d, want %d", got, want)
+			t.Fatalf("got a slot of partition %d, want %d", got, want)
 		}
 	}
 	take(false, lowReserve)
@@ -52,59 +56,61 @@
 	take(true, highReserve)
 	take(true, sharedPool)
 	take(false, -1)        // the pool is full
-	take(true, sharedPool) // two low ones are marked
+	take(true, sharedPool) // the two low requests are marked
 	take(true, -1)         // none is left to mark
 	if g.markedCount != subratedPerHigh || g.inUse != [3]int{minExactSlots, minExactSlots, 3*minExactSlots + 1} {
-		t.Fatalf("marked %d, used %v", g.markedCount, g.inUse)
+		t.Fatalf("got %d marked slots and %v in use, want subratedPerHigh and all, with one more in the pool",
+			g.markedCount, g.inUse)
 	}
-	for _, s := range held {
-		g.freeSlot(s)
+	for _, slot := range slots {
+		g.freeSlot(slot)
 	}
 	if g.markedCount != 0 || g.inUse != [3]int{minExactSlots - 1, minExactSlots - 1, 3*minExactSlots - 3} {
-		t.Fatalf("left: marked %d used %v", g.markedCount, g.inUse)
+		t.Fatalf("got %d marked slots and %v in use after all were freed, want those at the start",
+			g.markedCount, g.inUse)
 	}
 }
 
 func TestShrunkReserveTakesNoneUntilItDrains(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(1)...)
-	g := r.g
+	tg := newRig(t, testSettings(), fleet(1)...)
+	g := tg.g
 	g.concurrencyLimit = 2 * minExactSlots
 	g.inUse[highReserve] = 2*minExactSlots - 2
 	g.partitionSize = [3]float64{2 * minExactSlots, 0, 0}
-	a, b := g.takeSlot(true), g.takeSlot(true)
+	first, last := g.takeSlot(true), g.takeSlot(true)
 	g.partitionSize = [3]float64{minExactSlots, minExactSlots, 0}
 	if g.takeSlot(true) != nil {
-		t.Error("admitted above a shrunken reserve with no pool")
+		t.Error("got a slot from a reserve that has shrunk below its use, without a pool; want none")
 	}
-	g.freeSlot(a)
-	g.freeSlot(b)
+	g.freeSlot(first)
+	g.freeSlot(last)
 	g.inUse[highReserve] -= minExactSlots - 1
 	if g.takeSlot(true) == nil || g.inUse != [3]int{minExactSlots, 0, 0} {
-		t.Errorf("the accounts do not fit after the change: %v", g.inUse)
+		t.Errorf("got slots in use %v after the reserve has drained, want one more slot taken from it", g.inUse)
 	}
 }
 
-// A part of less than a slot is not shut for good: it is held on average.
-func TestASmallPartIsHeldOnAverage(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(4)...)
-	g := r.g
+// A partition of less than one slot still admits attempts: it is limited on average.
+func TestSmallPartitionIsLimitedOnAverage(t *testing.T) {
+	tg := newRig(t, testSettings(), fleet(4)...)
+	g := tg.g
 	g.concurrencyLimit, g.minLatency = 0.4, 0.1
 	g.partitionSize = [3]float64{0, 0, g.concurrencyLimit}
-	g.meanInUseAt = r.now
-	passed, busy := 0, 0.0
-	for range 2000 { // 20 s of arrivals every 10 ms, each held 100 ms
-		r.now += 10 * ms
-		g.now = r.now
-		if s := g.takeSlot(false); s != nil {
-			passed++
-			r.now += 100 * ms
-			g.now = r.now
+	g.meanInUseAt = tg.now
+	admitted, slotSeconds := 0, 0.0
+	for range 2000 { // an arrival every 10 ms, or after the 100 ms for which an admitted one holds its slot
+		tg.now += 10 * ms
+		g.now = tg.now
+		if slot := g.takeSlot(false); slot != nil {
+			admitted++
+			tg.now += 100 * ms
+			g.now = tg.now
 			g.updateMeanInUse()
-			g.freeSlot(s)
-			busy += 0.1
+			g.freeSlot(slot)
+			slotSeconds += 0.1
 		}
 	}
-	if share := busy / (r.now - 1000*second).Seconds(); share < 0.3 || share > 0.5 {
-		t.Errorf("%v slots in use on average (%d passed), want about 0.4", share, passed)
+	if share := slotSeconds / (tg.now - 1000*second).Seconds(); share < 0.3 || share > 0.5 {
+		t.Errorf("got %v slots in use on average (%d admitted), want 0.3 to 0.5", share, admitted)
 	}
 }
--- a/internal/gateway/staleness_test.go
+++ b/internal/gateway/staleness_test.go
@@ -6,179 +6,185 @@
 	"time"
 )
 
-const lease = 4 * second
+const testLease = 4 * second
 
-func leased() Settings {
-	s := testSettings()
-	s.SubscribeToList, s.ListLease = true, lease
-	return s
+// leaseSettings returns settings with a subscription to the list of backends and a lease on it.
+func leaseSettings() Settings {
+	settings := testSettings()
+	settings.SubscribeToList, settings.ListLease = true, testLease
+	return settings
 }
 
-// sendTo asks until the module sends something, and gives the request and its backend; 0: it refused all of them.
-func (r *rig) sendTo() (RequestID, BackendID) {
-	id, as := r.ask("safe", "wide", CustomerID(r.next%50))
-	if s := sends(as); len(s) > 0 {
-		return id, s[0].Backend
+// requestOne makes one request and returns it and the backend that it was sent to, or 0 if it was rejected.
+func (tg *rig) requestOne() (RequestID, BackendID) {
+	id, actions := tg.ask("safe", "wide", CustomerID(tg.next%50))
+	if got := sends(actions); len(got) > 0 {
+		return id, got[0].Backend
 	}
 	return id, 0
 }
 
-// Without a lease the list that was saved is gone by, however old.
-func TestListsWithoutALease(t *testing.T) {
-	r := newRig(t, testSettings(), fleet(3)...)
-	r.now += time.Hour
-	if _, b := r.sendTo(); b == 0 {
-		t.Error("refused")
+// Without a lease, the saved list is used however old it is.
+func TestSavedListIsUsedWithoutALease(t *testing.T) {
+	tg := newRig(t, testSettings(), fleet(3)...)
+	tg.now += time.Hour
+	if _, backend := tg.requestOne(); backend == 0 {
+		t.Error("got a rejection with a saved list and no lease, want a send")
 	}
 }
 
-// The list from before this process started has no age, so it vouches for nobody: what comes is refused at once, with
-// a time to come again. The first word of discovery, also that nothing has changed, makes it good.
-func TestASavedListVouchesForNobody(t *testing.T) {
+// The age of a list that was saved before this process started is not known, so it confirms no backend: requests are
+// rejected at once, with a Retry-After. The first update from discovery, even one without changes, makes the list
+// valid.
+func TestSavedListConfirmsNoBackend(t *testing.T) {
 	for _, kind := range []ListKind{ListFull, ListChanges} {
-		r := newRig(t, leased(), fleet(3)...)
-		_, as := r.ask("safe", "wide", 1)
-		if n, _ := finals(as); n != 1 || len(sends(as)) != 0 {
-			t.Fatalf("by a saved list: %v", as)
+		tg := newRig(t, leaseSettings(), fleet(3)...)
+		_, actions := tg.ask("safe", "wide", 1)
+		if rejects, _ := finals(actions); rejects != 1 || len(sends(actions)) != 0 {
+			t.Fatalf("saved list: got %v, want a rejection and no send", actions)
 		}
-		for _, a := range as {
-			if refusal, ok := a.(Reject); ok && refusal.RetryAfter <= 0 {
-				t.Errorf("refused with no time to come again: %+v", refusal)
+		for _, action := range actions {
+			if reject, ok := action.(Reject); ok && reject.RetryAfter <= 0 {
+				t.Errorf("saved list: got %+v, want a RetryAfter above 0", reject)
 			}
 		}
-		r.do(BackendList{Kind: ListFailed})
-		if _, b := r.sendTo(); b != 0 {
-			t.Error("sent after a failed ask")
+		tg.do(BackendList{Kind: ListFailed})
+		if _, backend := tg.requestOne(); backend != 0 {
+			t.Error("got a send after a failed subscription, want a rejection")
 		}
 		list := BackendList{Kind: kind}
 		if kind == ListFull {
 			list.Backends = fleet(3)
 		}
-		r.do(list)
-		if _, b := r.sendTo(); b == 0 {
-			t.Errorf("refused after a list of kind %d", kind)
+		tg.do(list)
+		if _, backend := tg.requestOne(); backend == 0 {
+			t.Errorf("got a rejection after an update of kind %d, want a send", kind)
 		}
 	}
 }
 
-// A confirmed list is good for its lease, and each confirmation starts that anew.
-func TestTheLeaseOfAList(t *testing.T) {
-	r := newRig(t, leased(), fleet(3)...)
+// A confirmed list is valid for its lease, and each confirmation renews the lease.
+func TestUpdatesRenewTheListLease(t *testing.T) {
+	tg := newRig(t, leaseSettings(), fleet(3)...)
 	for range 5 {
-		r.do(BackendList{Kind: ListChanges})
-		r.now += lease - ms
-		if _, b := r.sendTo(); b == 0 {
-			t.Fatal("refused within the lease")
+		tg.do(BackendList{Kind: ListChanges})
+		tg.now += testLease - ms
+		if _, backend := tg.requestOne(); backend == 0 {
+			t.Fatal("got a rejection within the lease, want a send")
 		}
 	}
-	r.now += ms
-	if _, b := r.sendTo(); b != 0 {
-		t.Error("sent when the lease was over")
+	tg.now += ms
+	if _, backend := tg.requestOne(); backend != 0 {
+		t.Error("got a send after the end of the lease, want a rejection")
 	}
 }
 
-// When the list's lease is over, an answer vouches for its backend alone, for a share of the lease from its send on.
-func TestAnAnswerVouchesForItsBackend(t *testing.T) {
-	r := newRig(t, leased(), fleet(5)...)
-	r.do(BackendList{Kind: ListChanges})
-	r.now += lease - ms
-	id, b := r.sendTo()
-	sent := r.now
-	r.now += 100 * ms
-	r.outcome(id, b, 0, Answered)
-	for r.now < sent+seconds(answerLeaseShare*lease.Seconds())-ms {
-		id, other := r.sendTo()
-		if other != b {
-			t.Fatalf("sent to %d, only %d was vouched for", other, b)
+// After the end of the list's lease, an answer confirms its own backend only, for a share of the lease from the send of
+// the attempt on.
+func TestAnswerConfirmsItsBackendOnly(t *testing.T) {
+	tg := newRig(t, leaseSettings(), fleet(5)...)
+	tg.do(BackendList{Kind: ListChanges})
+	tg.now += testLease - ms
+	id, confirmed := tg.requestOne()
+	sentAt := tg.now
+	tg.now += 100 * ms
+	tg.outcome(id, confirmed, 0, Answered)
+	for tg.now < sentAt+seconds(answerLeaseShare*testLease.Seconds())-ms {
+		id, backend := tg.requestOne()
+		if backend != confirmed {
+			t.Fatalf("got a send to backend %d, want one to %d, the only one confirmed", backend, confirmed)
 		}
-		r.outcome(id, other, 0, AnsweredError)
-		r.now += 50 * ms
+		tg.outcome(id, backend, 0, AnsweredError)
+		tg.now += 50 * ms
 	}
-	r.now = sent + seconds(answerLeaseShare*lease.Seconds())
-	if _, other := r.sendTo(); other != 0 {
-		t.Error("sent to a backend that nothing vouches for any more")
+	tg.now = sentAt + seconds(answerLeaseShare*testLease.Seconds())
+	if _, backend := tg.requestOne(); backend != 0 {
+		t.Error("got a send to a backend that is no longer confirmed, want a rejection")
 	}
 }
 
-// A backend that turns a request away may drain: without a list it is not sent to again.
-func TestARefusalEndsWhatAnAnswerVouchedFor(t *testing.T) {
-	r := newRig(t, leased(), fleet(5)...)
-	r.do(BackendList{Kind: ListChanges})
-	r.now += lease - ms
-	id, b := r.sendTo()
-	r.now += 100 * ms
-	r.outcome(id, b, 0, Answered)
-	id, _ = r.sendTo()
-	r.outcome(id, b, 0, Rejected)
-	r.now += second
-	if _, other := r.sendTo(); other != 0 {
-		t.Errorf("sent to %d", other)
+// A backend that rejects a request may be draining: without a valid list it is sent nothing more.
+func TestRejectedAttemptEndsTheConfirmation(t *testing.T) {
+	tg := newRig(t, leaseSettings(), fleet(5)...)
+	tg.do(BackendList{Kind: ListChanges})
+	tg.now += testLease - ms
+	id, confirmed := tg.requestOne()
+	tg.now += 100 * ms
+	tg.outcome(id, confirmed, 0, Answered)
+	id, _ = tg.requestOne()
+	tg.outcome(id, confirmed, 0, Rejected)
+	tg.now += second
+	if _, backend := tg.requestOne(); backend != 0 {
+		t.Errorf("got a send to backend %d, want a rejection", backend)
 	}
-	r.do(BackendList{Kind: ListChanges})
-	if _, other := r.sendTo(); other == 0 {
-		t.Error("refused although the list is good again")
+	tg.do(BackendList{Kind: ListChanges})
+	if _, backend := tg.requestOne(); backend == 0 {
+		t.Error("got a rejection after the list was confirmed again, want a send")
 	}
 }
 
-// Whatever happens, nothing is sent to a backend that neither the list nor an answer vouches for. What vouches is
-// reckoned here from the events alone.
-func TestNothingIsSentByAStaleList(t *testing.T) {
+// Whatever the events are, nothing is sent to a backend that neither the list nor an answer confirms. The test computes
+// from the events alone until when each backend is confirmed.
+func TestNothingIsSentToUnconfirmedBackends(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		r := newRig(t, leased(), fleet(20)...)
-		type out struct {
-			id  RequestID
-			b   BackendID
-			try int
-			at  time.Duration
+		tg := newRig(t, leaseSettings(), fleet(20)...)
+		type sentAttempt struct {
+			id      RequestID
+			backend BackendID
+			attempt int
+			sentAt  time.Duration
 		}
-		var open []out
-		tries := map[RequestID]int{}
-		listed, good := time.Duration(0), map[BackendID]time.Duration{}
-		sent, stale := 0, 0
-		see := func(as []Action) {
-			for _, s := range sends(as) {
-				if r.now >= max(listed, good[s.Backend]) {
-					t.Fatalf("seed %d: sent to %d at %v, the list was good until %v, its answers until %v", seed,
-						s.Backend, r.now, listed, good[s.Backend])
+		var inFlight []sentAttempt
+		attempts := map[RequestID]int{}
+		listValidUntil, confirmedUntil := time.Duration(0), map[BackendID]time.Duration{}
+		sent, sentWithoutList := 0, 0
+		record := func(actions []Action) {
+			for _, send := range sends(actions) {
+				if tg.now >= max(listValidUntil, confirmedUntil[send.Backend]) {
+					t.Fatalf("seed %d: got a send to backend %d at %v, want none; list valid to %v, confirmed to %v",
+						seed, send.Backend, tg.now, listValidUntil, confirmedUntil[send.Backend])
 				}
-				open = append(open, out{s.Request, s.Backend, tries[s.Request], r.now})
-				tries[s.Request]++
+				inFlight = append(inFlight, sentAttempt{send.Request, send.Backend, attempts[send.Request], tg.now})
+				attempts[send.Request]++
 				sent++
-				if r.now >= listed {
-					stale++
+				if tg.now >= listValidUntil {
+					sentWithoutList++
 				}
 			}
 		}
 		for range 20000 {
-			r.now += time.Duration(rng.ExpFloat64() * float64(10*ms))
+			tg.now += time.Duration(rng.ExpFloat64() * float64(10*ms))
 			switch x := rng.Float64(); {
 			case x < 0.001:
-				listed = r.now + lease
-				see(r.do(BackendList{Kind: ListChanges}))
+				listValidUntil = tg.now + testLease
+				record(tg.do(BackendList{Kind: ListChanges}))
 			case x < 0.003:
-				see(r.do(BackendList{Kind: ListFailed}))
+				record(tg.do(BackendList{Kind: ListFailed}))
 			case x < 0.5:
-				_, as := r.ask("safe", "wide", CustomerID(rng.IntN(50)))
-				see(as)
+				_, actions := tg.ask("safe", "wide", CustomerID(rng.IntN(50)))
+				record(actions)
 			case x < 0.52:
-				see(r.do(Timer{}))
-			case len(open) > 0:
-				i := rng.IntN(len(open))
-				o := open[i]
-				open = append(open[:i], open[i+1:]...)
-				result := []Result{Answered, Answered, Answered, Answered, AnsweredError, Rejected, NoConnection, ConnectionBroken}[rng.IntN(8)]
+				record(tg.do(Timer{}))
+			case len(inFlight) > 0:
+				i := rng.IntN(len(inFlight))
+				ended := inFlight[i]
+				inFlight = append(inFlight[:i], inFlight[i+1:]...)
+				result := []Result{Answered, Answered, Answered, Answered, AnsweredError, Rejected, NoConnection,
+					ConnectionBroken}[rng.IntN(8)]
 				switch result {
 				case Answered:
-					good[o.b] = max(good[o.b], o.at+seconds(answerLeaseShare*lease.Seconds()))
+					confirmedUntil[ended.backend] = max(confirmedUntil[ended.backend],
+						ended.sentAt+seconds(answerLeaseShare*testLease.Seconds()))
 				case Rejected:
-					good[o.b] = 0
+					confirmedUntil[ended.backend] = 0
 				}
-				see(r.outcome(o.id, o.b, o.try, result))
+				record(tg.outcome(ended.id, ended.backend, ended.attempt, result))
 			}
 		}
-		if sent < 1000 || stale < 100 {
-			t.Errorf("seed %d: %d sends, %d of them without a list: this shows little", seed, sent, stale)
+		if sent < 1000 || sentWithoutList < 100 {
+			t.Errorf("seed %d: got %d sends, %d of them without a valid list, want at least 1000 and 100", seed, sent,
+				sentWithoutList)
 		}
 	}
 }
