--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-func TestRetriesByEffect(t *testing.T) {
-	for _, c := range []struct {
-		class           string
-		first           Result
-		wait            time.Duration
-		resend          bool
-		refused, failed int
+func TestRetriesDependOnTheEffect(t *testing.T) {
+	for _, test := range []struct {
+		class                  string
+		result                 Result // of the first attempt
+		delay                  time.Duration
+		wantRetry              bool
+		wantRejects, wantFails int
 	}{
 		{"safe", TimedOut, 0, true, 0, 0},
 		{"once", Rejected, 0, true, 0, 0},
@@ -20,113 +20,121 @@
 		{"once", AnsweredError, 0, false, 0, 1},
 		{"once", Unknown, 0, false, 0, 1},
 		{"keyed", ConnectionBroken, 0, true, 0, 0},
-		{"keyed", ConnectionBroken, 4 * second, false, 0, 1},
-		{"celled", ConnectionBroken, 0, false, 0, 1}, // the other backend is in another cell
-		{"zoned", ConnectionBroken, 0, false, 0, 1},
+		{"keyed", ConnectionBroken, 4 * second, false, 0, 1}, // after the class's DedupWindow
+		{"celled", ConnectionBroken, 0, false, 0, 1},         // the other backend is in another cell
+		{"zoned", ConnectionBroken, 0, false, 0, 1},          // and in another zone
 		{"celled", Rejected, 0, true, 0, 0},
 	} {
-		r := newTestGateway(t, testSettings(), testBackends(2)...)
-		id, as := r.submit(c.class, "wide", 1)
-		first := sendActions(as)[0]
-		r.now += c.wait
-		as = r.endAttempt(id, first.Backend, 0, c.first)
-		refused, failed := countFinalAnswers(as)
-		if got := sendActions(as); (len(got) == 1) != c.resend || refused != c.refused || failed != c.failed {
-			t.Errorf("%s after %d: sends %v, refused %d, failed %d", c.class, c.first, got, refused, failed)
+		tg := newTestGateway(t, testSettings(), testBackends(2)...)
+		id, actions := tg.submit(test.class, "wide", 1)
+		first := sendActions(actions)[0]
+		tg.now += test.delay
+		actions = tg.endAttempt(id, first.Backend, 0, test.result)
+		rejects, fails := countFinalAnswers(actions)
+		if got := sendActions(actions); (len(got) == 1) != test.wantRetry || rejects != test.wantRejects ||
+			fails != test.wantFails {
+			t.Errorf("%s after result %d: got sends %v, %d rejections and %d failures, want those of the case",
+				test.class, test.result, got, rejects, fails)
 		}
-		if slotsInUse(r.gateway) != boolToInt(c.resend) {
-			t.Errorf("%s: %d slots held", c.class, slotsInUse(r.gateway))
+		if slotsInUse(tg.gateway) != boolToInt(test.wantRetry) {
+			t.Errorf("%s: got %d slots in use, want one only if there is a retry", test.class, slotsInUse(tg.gateway))
 		}
 	}
 }
 
-// A keyed request's repeat must begin while the backends remember its key, also if its connection takes long to
-// come up. What never ran left no key behind.
-func TestKeyedRepeatsSayByWhenTheyMustBegin(t *testing.T) {
-	for _, c := range []struct {
-		class  string
-		first  Result
-		within bool
+// A retry of a Deduplicated request must start while the backends remember its key, even if its connection takes long
+// to establish. An attempt that never ran left no key behind, so there is no limit on its retry.
+func TestRetriesOfDeduplicatedRequestsMustStartInTime(t *testing.T) {
+	for _, test := range []struct {
+		class       string
+		result      Result // of the first attempt
+		wantLimited bool
 	}{{"keyed", ConnectionBroken, true}, {"keyed", NoConnection, false}, {"safe", ConnectionBroken, false}} {
-		s := testSettings()
-		s.AnswerGrace = 8 * ms
-		r := newTestGateway(t, s, testBackends(2)...)
-		id, as := r.submit(c.class, "wide", 1)
-		if first := sendActions(as)[0]; first.StartWithin != 0 {
-			t.Errorf("%s: a first attempt within %v", c.class, first.StartWithin)
+		settings := testSettings()
+		settings.AnswerGrace = 8 * ms
+		tg := newTestGateway(t, settings, testBackends(2)...)
+		id, actions := tg.submit(test.class, "wide", 1)
+		if first := sendActions(actions)[0]; first.StartWithin != 0 {
+			t.Errorf("%s: got StartWithin %v for the first attempt, want 0", test.class, first.StartWithin)
 		}
-		r.now += second
-		as = r.endAttempt(id, sendActions(as)[0].Backend, 0, c.first)
-		want := time.Duration(boolToInt(c.within)) * (r.gateway.classes[c.class].DedupWindow - second - 8*ms)
-		if got := sendActions(as); len(got) != 1 || got[0].StartWithin != want {
-			t.Errorf("%s after %d: %+v, want it within %v", c.class, c.first, got, want)
+		tg.now += second
+		actions = tg.endAttempt(id, sendActions(actions)[0].Backend, 0, test.result)
+		want := time.Duration(boolToInt(test.wantLimited)) *
+			(tg.gateway.classes[test.class].DedupWindow - second - 8*ms)
+		if got := sendActions(actions); len(got) != 1 || got[0].StartWithin != want {
+			t.Errorf("%s, first attempt ended with result %d: got sends %+v, want one with StartWithin %v",
+				test.class, test.result, got, want)
 		}
 	}
 }
 
-// However many attempts the settings allow, three are made at most.
-func TestThreeAttemptsAtMost(t *testing.T) {
-	s := testSettings()
-	s.MaxAttempts = 5
-	r := newTestGateway(t, s, testBackends(9)...)
-	id, as := r.submit("safe", "wide", 1)
-	for n := range 3 {
-		if len(sendActions(as)) != 1 {
-			t.Fatalf("attempt %d: %v", n, as)
+// At most three attempts are made, even if the settings allow more.
+func TestAtMostThreeAttemptsAreMade(t *testing.T) {
+	settings := testSettings()
+	settings.MaxAttempts = 5
+	tg := newTestGateway(t, settings, testBackends(9)...)
+	id, actions := tg.submit("safe", "wide", 1)
+	for attempt := range 3 {
+		if len(sendActions(actions)) != 1 {
+			t.Fatalf("attempt %d: got %v, want one send", attempt, actions)
 		}
-		as = r.endAttempt(id, sendActions(as)[0].Backend, n, AnsweredError)
+		actions = tg.endAttempt(id, sendActions(actions)[0].Backend, attempt, AnsweredError)
 	}
-	if n, _ := countFinalAnswers(as); n != 1 || len(sendActions(as)) != 0 {
-		t.Errorf("after the third: %v", as)
+	if rejects, _ := countFinalAnswers(actions); rejects != 1 || len(sendActions(actions)) != 0 {
+		t.Errorf("after the third attempt: got %v, want a rejection and no send", actions)
 	}
 }
 
-func TestAttemptLimitAndTooLate(t *testing.T) {
-	s := testSettings()
-	s.MaxAttempts = 2
-	r := newTestGateway(t, s, testBackends(3)...)
-	id, as := r.submit("safe", "wide", 1)
-	as = r.endAttempt(id, sendActions(as)[0].Backend, 0, AnsweredError)
-	as = r.endAttempt(id, sendActions(as)[0].Backend, 1, AnsweredError)
-	if n, _ := countFinalAnswers(as); n != 1 || len(sendActions(as)) != 0 {
-		t.Errorf("after the last attempt: %v", as)
+func TestNoRetryBeyondMaxAttemptsOrTooLate(t *testing.T) {
+	settings := testSettings()
+	settings.MaxAttempts = 2
+	tg := newTestGateway(t, settings, testBackends(3)...)
+	id, actions := tg.submit("safe", "wide", 1)
+	actions = tg.endAttempt(id, sendActions(actions)[0].Backend, 0, AnsweredError)
+	actions = tg.endAttempt(id, sendActions(actions)[0].Backend, 1, AnsweredError)
+	if rejects, _ := countFinalAnswers(actions); rejects != 1 || len(sendActions(actions)) != 0 {
+		t.Errorf("after the last attempt: got %v, want a rejection and no send", actions)
 	}
-	id, as = r.submit("safe", "wide", 1)
-	r.now += 6*second - 10*ms
-	as = r.endAttempt(id, sendActions(as)[0].Backend, 0, AnsweredError)
-	if n, _ := countFinalAnswers(as); n != 1 || len(sendActions(as)) != 0 {
-		t.Errorf("a retry that cannot be answered in time: %v", as)
+	id, actions = tg.submit("safe", "wide", 1)
+	tg.now += 6*second - 10*ms
+	actions = tg.endAttempt(id, sendActions(actions)[0].Backend, 0, AnsweredError)
+	if rejects, _ := countFinalAnswers(actions); rejects != 1 || len(sendActions(actions)) != 0 {
+		t.Errorf("10 ms before the client's timeout: got %v, want a rejection and no send", actions)
 	}
 }
 
-func TestDeadlineGivesOneFinalAnswer(t *testing.T) {
+func TestClientTimeoutGivesOneFinalAnswer(t *testing.T) {
 	for class, wantFail := range map[string]bool{"safe": false, "once": true, "celled": true} {
-		r := newTestGateway(t, testSettings(), testBackends(1)...)
-		id, as := r.submit(class, "wide", 1)
-		b := sendActions(as)[0].Backend
-		r.now += 6 * second
-		as = r.handle(Timer{Token: r.gateway.lastSeq})
-		refused, failed := countFinalAnswers(as)
-		if refused+failed != 1 || (failed == 1) != wantFail {
-			t.Errorf("%s: refused %d failed %d", class, refused, failed)
+		tg := newTestGateway(t, testSettings(), testBackends(1)...)
+		id, actions := tg.submit(class, "wide", 1)
+		backend := sendActions(actions)[0].Backend
+		tg.now += 6 * second
+		actions = tg.handle(Timer{Token: tg.gateway.lastSeq})
+		rejects, fails := countFinalAnswers(actions)
+		if rejects+fails != 1 || (fails == 1) != wantFail {
+			t.Errorf("%s: got %d rejections and %d failures, want one: a failure unless every repeat is harmless",
+				class, rejects, fails)
 		}
-		if as = r.endAttempt(id, b, 0, Cancelled); len(as) != 0 || slotsInUse(r.gateway) != 0 || len(r.gateway.requests) != 0 {
-			t.Errorf("%s: a late outcome led to %v, %d slots, %d requests", class, as, slotsInUse(r.gateway), len(r.gateway.requests))
+		if actions = tg.endAttempt(id, backend, 0, Cancelled); len(actions) != 0 || slotsInUse(tg.gateway) != 0 ||
+			len(tg.gateway.requests) != 0 {
+			t.Errorf("%s: got actions %v, %d slots in use and %d requests after the late outcome, want none",
+				class, actions, slotsInUse(tg.gateway), len(tg.gateway.requests))
 		}
 	}
 }
 
-// Never two attempts out: a deadline calls the last one off, an outcome alone leads to the next.
-func TestOneAttemptOutAtATime(t *testing.T) {
-	r := newTestGateway(t, testSettings(), testBackends(3)...)
-	id, as := r.submit("safe", "wide", 1)
-	first := sendActions(as)[0]
-	r.now += 5 * second // silent for long
-	if as = r.handle(Timer{Token: 0}); len(sendActions(as)) != 0 {
-		t.Fatalf("a second attempt beside the first: %v", as)
+// At most one attempt of a request is in flight: only the outcome of one leads to the next, and the deadline cancels
+// the last.
+func TestAttemptsOfARequestDoNotOverlap(t *testing.T) {
+	tg := newTestGateway(t, testSettings(), testBackends(3)...)
+	id, actions := tg.submit("safe", "wide", 1)
+	first := sendActions(actions)[0]
+	tg.now += 5 * second // without an answer
+	if actions = tg.handle(Timer{Token: 0}); len(sendActions(actions)) != 0 {
+		t.Fatalf("got %v with the first attempt in flight, want no send", actions)
 	}
-	as = r.endAttempt(id, first.Backend, 0, ConnectionBroken)
-	if got := sendActions(as); len(got) != 1 || got[0].Backend == first.Backend {
-		t.Errorf("no second try elsewhere: %v", as)
+	actions = tg.endAttempt(id, first.Backend, 0, ConnectionBroken)
+	if got := sendActions(actions); len(got) != 1 || got[0].Backend == first.Backend {
+		t.Errorf("got %v after the first attempt failed, want one send to another backend", actions)
 	}
 }
--- a/internal/gateway/health_test.go
+++ b/internal/gateway/health_test.go
@@ -5,154 +5,165 @@
 	"testing"
 )
 
-// Connections break one by one on some days. A reset must not take a backend for one that has restarted, or all of
-// them are soon cold together; only where no connection comes up any more is one down.
-func TestOneBrokenConnectionIsNoRestart(t *testing.T) {
-	r := newTestGateway(t, testSettings(), testBackends(1)...)
-	id, _ := r.submit("safe", "wide", 1)
-	r.endAttempt(id, 1, 0, ConnectionBroken)
-	b := r.gateway.backends[1]
-	if b.cold || b.backoffUntil > r.now {
-		t.Errorf("after a reset: cold %v, held for %v", b.cold, b.backoffUntil-r.now)
+// On some days single connections break often. A broken connection must not make its backend count as restarted, or
+// soon all backends are cold at once. Only a backend to which no connection can be established counts as down.
+func TestOnlyFailedConnectionsInARowMakeABackendCold(t *testing.T) {
+	tg := newTestGateway(t, testSettings(), testBackends(1)...)
+	id, _ := tg.submit("safe", "wide", 1)
+	tg.endAttempt(id, 1, 0, ConnectionBroken)
+	backend := tg.gateway.backends[1]
+	if backend.cold || backend.backoffUntil > tg.now {
+		t.Errorf("after a broken connection: got cold %v and a backoff of %v, want neither",
+			backend.cold, backend.backoffUntil-tg.now)
 	}
 	for n := 1; n <= downAfterFailures; n++ {
-		id, as := r.submit("safe", "wide", 1)
-		if len(sendActions(as)) != 1 {
-			t.Fatalf("after %d failed connections and a hold: %+v", n-1, as)
+		id, actions := tg.submit("safe", "wide", 1)
+		if len(sendActions(actions)) != 1 {
+			t.Fatalf("after %d failed connections and the backoff: got %+v, want one send", n-1, actions)
 		}
-		r.endAttempt(id, 1, 0, NoConnection)
-		if b.backoffUntil <= r.now || b.cold != (n == downAfterFailures) {
-			t.Errorf("after %d failed connections: cold %v, held for %v", n, b.cold, b.backoffUntil-r.now)
+		tg.endAttempt(id, 1, 0, NoConnection)
+		if backend.backoffUntil <= tg.now || backend.cold != (n == downAfterFailures) {
+			t.Errorf("after %d failed connections: got cold %v and backoff %v, want cold from downAfterFailures on",
+				n, backend.cold, backend.backoffUntil-tg.now)
 		}
-		r.now = b.backoffUntil
+		tg.now = backend.backoffUntil
 	}
 }
 
-// quick is a gateway of n backends, in one cell, that has learnt that answers take 100 ms and may call all off that
-// it likes, with one attempt of the class out.
-func quick(t *testing.T, n int, class string) (r *testGateway, id RequestID, b BackendID) {
+// startAttempt returns a gateway with an attempt of a request of the class in flight, the request and the backend of
+// the attempt. The gateway has n backends in one cell, a mean latency of 100 ms and a full budget of cancellations.
+func startAttempt(t *testing.T, n int, class string) (tg *testGateway, id RequestID, backend BackendID) {
 	t.Helper()
 	backends := testBackends(n)
 	for i := range backends {
 		backends[i].Cell = 0
 	}
-	r = newTestGateway(t, testSettings(), backends...)
-	for _, cl := range r.gateway.orderedClasses {
-		cl.meanLatency, cl.minLatency = 0.1, 0.1
+	tg = newTestGateway(t, testSettings(), backends...)
+	for _, state := range tg.gateway.orderedClasses {
+		state.meanLatency, state.minLatency = 0.1, 0.1
 	}
-	r.gateway.meanLatency, r.gateway.minLatency, r.gateway.cancelBudget = 0.1, 0.1, maxCancelBudget
-	id, as := r.submit(class, "wide", 1)
-	return r, id, sendActions(as)[0].Backend
+	tg.gateway.meanLatency, tg.gateway.minLatency, tg.gateway.cancelBudget = 0.1, 0.1, maxCancelBudget
+	id, actions := tg.submit(class, "wide", 1)
+	return tg, id, sendActions(actions)[0].Backend
 }
 
-// wait lets the time pass after which a first attempt may be cancelled, and gives what the next event leads to.
-func (r *testGateway) wait() []Action {
-	r.now += seconds(cancelAfterLatencies*0.1) + ms
-	return r.handle(ProbeResult{})
+// waitUntilSlow advances the time until a first attempt may be cancelled as too slow, and returns the actions that the
+// next event leads to.
+func (tg *testGateway) waitUntilSlow() []Action {
+	tg.now += seconds(cancelAfterLatencies*0.1) + ms
+	return tg.handle(ProbeResult{})
 }
 
-func cancels(as []Action) (out []Cancel) {
-	for _, a := range as {
-		if c, ok := a.(Cancel); ok {
-			out = append(out, c)
+// cancels returns the Cancel actions among the actions.
+func cancels(actions []Action) (out []Cancel) {
+	for _, action := range actions {
+		if cancel, ok := action.(Cancel); ok {
+			out = append(out, cancel)
 		}
 	}
 	return out
 }
 
-// An attempt that waits out of all proportion is made once more elsewhere, in the same slot, if that is allowed, and
-// only once: what has waited for the second attempt as long may be slow by nature.
-func TestAttemptsThatWaitTooLongAreMadeElsewhereOnce(t *testing.T) {
-	for _, c := range []struct {
+// A first attempt that takes far longer than usual is cancelled and repeated at another backend, in the same slot, if
+// the request may be repeated. This happens only once per request: one whose second attempt takes as long may be slow
+// by nature.
+func TestSlowFirstAttemptsAreRepeatedElsewhereOnce(t *testing.T) {
+	for _, test := range []struct {
 		name, class string
 		change      func(*testGateway)
 		want        int
 	}{
 		{"safe", "safe", func(*testGateway) {}, 1},
-		{"keyed, in its cell", "celled", func(*testGateway) {}, 1},
+		{"deduplicated in its cell", "celled", func(*testGateway) {}, 1},
 		{"unsafe", "once", func(*testGateway) {}, 0},
-		{"keyed, alone in its cell", "celled", func(r *testGateway) {
-			for i, b := range slices.Collect(r.gateway.ranking.All()) {
-				b.Cell = i
+		{"deduplicated, no other backend in its cell", "celled", func(tg *testGateway) {
+			for i, backend := range slices.Collect(tg.gateway.ranking.All()) {
+				backend.Cell = i
 			}
 		}, 0},
-		{"no share left", "safe", func(r *testGateway) { r.gateway.cancelBudget = 0.9 }, 0},
-		{"no cancels", "safe", func(r *testGateway) { r.gateway.settings.CanCancel = false }, 0},
-		{"the client gives up soon", "safe", func(r *testGateway) {
-			for _, q := range r.gateway.requests {
-				q.deadline = r.now + seconds(cancelAfterLatencies*0.1) + 150*ms
+		{"cancellation budget used up", "safe", func(tg *testGateway) { tg.gateway.cancelBudget = 0.9 }, 0},
+		{"cancellation not supported", "safe", func(tg *testGateway) { tg.gateway.settings.CanCancel = false }, 0},
+		{"client times out soon", "safe", func(tg *testGateway) {
+			for _, request := range tg.gateway.requests {
+				request.deadline = tg.now + seconds(cancelAfterLatencies*0.1) + 150*ms
 			}
 		}, 0},
 	} {
-		r, id, b := quick(t, 3, c.class)
-		c.change(r)
-		if as := r.handle(ProbeResult{}); len(as) != 0 {
-			t.Errorf("%s: at once: %+v", c.name, as)
+		tg, id, backend := startAttempt(t, 3, test.class)
+		test.change(tg)
+		if actions := tg.handle(ProbeResult{}); len(actions) != 0 {
+			t.Errorf("%s: got actions %+v at once, want none", test.name, actions)
 		}
-		off := cancels(r.wait())
-		if len(off) != c.want {
-			t.Errorf("%s: %d attempts called off, want %d", c.name, len(off), c.want)
+		cancelled := cancels(tg.waitUntilSlow())
+		if len(cancelled) != test.want {
+			t.Errorf("%s: got %d cancelled attempts, want %d", test.name, len(cancelled), test.want)
 		}
-		if n := len(r.gateway.classes[c.class].firstAttempts); n != 0 {
-			t.Errorf("%s: %d attempts are still looked at", c.name, n)
+		if n := len(tg.gateway.classes[test.class].firstAttempts); n != 0 {
+			t.Errorf("%s: got %d first attempts that are still checked, want 0", test.name, n)
 		}
-		if len(off) == 0 {
+		if len(cancelled) == 0 {
 			continue
 		}
-		again := sendActions(r.handle(Outcome{Request: id, Backend: b, Result: Cancelled, Duration: second}))
-		if len(again) != 1 || again[0].Backend == b || slotsInUse(r.gateway) != 1 {
-			t.Fatalf("%s: then %+v with %d slots held, want one more attempt elsewhere, in one slot", c.name, again, slotsInUse(r.gateway))
+		repeats := sendActions(tg.handle(Outcome{Request: id, Backend: backend, Result: Cancelled, Duration: second}))
+		if len(repeats) != 1 || repeats[0].Backend == backend || slotsInUse(tg.gateway) != 1 {
+			t.Fatalf("%s: got sends %+v with %d slots in use, want one send to another backend, in one slot",
+				test.name, repeats, slotsInUse(tg.gateway))
 		}
-		if off := cancels(r.wait()); len(off) != 0 {
-			t.Errorf("%s: called off again", c.name)
+		if cancelled := cancels(tg.waitUntilSlow()); len(cancelled) != 0 {
+			t.Errorf("%s: the second attempt was cancelled too, want it left in flight", test.name)
 		}
-		r.endAttempt(id, again[0].Backend, 1, Answered)
-		if slotsInUse(r.gateway) != 0 || len(r.gateway.requests) != 0 {
-			t.Errorf("%s: %d slots and %d requests are left", c.name, slotsInUse(r.gateway), len(r.gateway.requests))
+		tg.endAttempt(id, repeats[0].Backend, 1, Answered)
+		if slotsInUse(tg.gateway) != 0 || len(tg.gateway.requests) != 0 {
+			t.Errorf("%s: got %d slots in use and %d requests at the end, want none",
+				test.name, slotsInUse(tg.gateway), len(tg.gateway.requests))
 		}
 	}
 }
 
-// In a jam everything waits. What is cancelled then is work done twice, so it stays a small share of the sends.
-func TestFewAttemptsAreCalledOffInAJam(t *testing.T) {
-	r, _, _ := quick(t, 40, "safe")
-	const more = 320
-	for range more {
-		r.submit("safe", "wide", 1)
+// In an overload all attempts take long. Each that is cancelled is work done twice, so the cancellations are limited to
+// a small share of the sends.
+func TestFewAttemptsAreCancelledInAnOverload(t *testing.T) {
+	tg, _, _ := startAttempt(t, 40, "safe")
+	const requests = 320
+	for range requests {
+		tg.submit("safe", "wide", 1)
 	}
-	if n, most := len(cancels(r.wait())), int(maxCancelBudget); n > most || n == 0 {
-		t.Errorf("%d of %d attempts called off at once, want some, and %d at most", n, more, most)
+	if got, maxCancels := len(cancels(tg.waitUntilSlow())), int(maxCancelBudget); got > maxCancels || got == 0 {
+		t.Errorf("got %d of %d attempts cancelled at once, want at least 1 and at most %d", got, requests, maxCancels)
 	}
 }
 
-// One silent connection says little of its backend. A backend that leaves one attempt after another unanswered is
-// left alone for longer each time, and an answer clears it.
-func TestBackendsAreStruckHarderEachTime(t *testing.T) {
-	r, id, at := quick(t, 2, "safe")
-	b := r.gateway.backends[at]
-	slow := b.slowness
-	last := overdueThreshold
+// A single silent connection says little about its backend. A backend that leaves one attempt after another unanswered
+// gets a higher outlier penalty each time, and an answer clears it.
+func TestOutlierPenaltyGrowsUntilAnAnswer(t *testing.T) {
+	tg, id, backendID := startAttempt(t, 2, "safe")
+	backend := tg.gateway.backends[backendID]
+	slowness := backend.slowness
+	lastOverdue := overdueThreshold
 	for n := range 3 {
-		r.wait()
-		r.handle(Outcome{Request: id, Backend: at, Result: Cancelled, Duration: second})
-		if b.overdue <= last || b.slowness != slow {
-			t.Errorf("after %d strikes: owes %v, not over %v, or slowness %v is not %v", n+1, b.overdue, last, b.slowness, slow)
+		tg.waitUntilSlow()
+		tg.handle(Outcome{Request: id, Backend: backendID, Result: Cancelled, Duration: second})
+		if backend.overdue <= lastOverdue || backend.slowness != slowness {
+			t.Errorf("after %d cancelled attempts: got overdue %v, want more than %v; got slowness %v, want %v",
+				n+1, backend.overdue, lastOverdue, backend.slowness, slowness)
 		}
-		last = b.overdue
-		for o := range r.gateway.ranking.All() { // the rest is shut, so that the next attempt goes there as well
-			o.backoffUntil = r.now
-			if o != b {
-				o.backoffUntil = r.now + second
+		lastOverdue = backend.overdue
+		// Back off from the other backend, so that the next attempt goes to the same one.
+		for other := range tg.gateway.ranking.All() {
+			other.backoffUntil = tg.now
+			if other != backend {
+				other.backoffUntil = tg.now + second
 			}
 		}
-		next, as := r.submit("safe", "wide", 1)
-		if len(sendActions(as)) != 1 || sendActions(as)[0].Backend != at {
-			t.Fatalf("the next attempt: %+v, want it at backend %d", as, at)
+		nextID, actions := tg.submit("safe", "wide", 1)
+		if len(sendActions(actions)) != 1 || sendActions(actions)[0].Backend != backendID {
+			t.Fatalf("next attempt: got %+v, want one send to backend %d", actions, backendID)
 		}
-		id = next
+		id = nextID
 	}
-	r.endAttempt(id, at, 0, Answered)
-	if b.outlierCount != 0 || b.overdue != 0 {
-		t.Errorf("after an answer: %d strikes, owes %v", b.outlierCount, b.overdue)
+	tg.endAttempt(id, backendID, 0, Answered)
+	if backend.outlierCount != 0 || backend.overdue != 0 {
+		t.Errorf("after an answer: got outlierCount %d and overdue %v, want 0 and 0",
+			backend.outlierCount, backend.overdue)
 	}
 }
