--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -18,7 +18,7 @@
 // A client that gets a rejection without Retry-After retries at once, and that retry is rejected as well.
 func TestEveryRejectionHasARetryAfter(t *testing.T) {
 	for plan, reason := range map[string]string{
-		"rated": "quota", "capped": "ceiling", "open": "limit on attempts in flight",
+		"small": "quota", "ceiling": "ceiling", "in-flight": "limit on attempts in flight",
 	} {
 		tg := newTestGateway(t, testSettings(), testBackends(2)...)
 		tg.now += second // partly fills this gateway's share of the ceiling's token bucket
@@ -38,7 +38,7 @@
 		}
 	}
 	tg := newTestGateway(t, testSettings())
-	if reject, ok := firstReject(actionsOf(tg.submit("safe", "wide", 5))); !ok || reject.RetryAfter <= 0 {
+	if reject, ok := firstReject(actionsOf(tg.submit("safe", "large", 5))); !ok || reject.RetryAfter <= 0 {
 		t.Errorf("no backends: got rejected %v, RetryAfter %v, want true and more than 0", ok, reject.RetryAfter)
 	}
 }
@@ -49,7 +49,7 @@
 // RetryAfter is the time in which the customer's token bucket refills to the units of the request: a client that waits
 // for it is admitted then, and would not have been much earlier.
 func TestRetryAfterIsTheRefillTimeOfTheTokenBucket(t *testing.T) {
-	for _, plan := range []string{"rated", "capped"} {
+	for _, plan := range []string{"small", "ceiling"} {
 		settings := testSettings()
 		settings.MaxRetryAfter = time.Minute
 		tg := newTestGateway(t, settings, testBackends(2)...)
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -14,26 +14,26 @@
 		wantRejects, wantFails int
 	}{
 		{"safe", TimedOut, 0, true, 0, 0},
-		{"once", Rejected, 0, true, 0, 0},
-		{"once", NoConnection, 0, true, 0, 0},
-		{"once", TimedOut, 0, false, 0, 1},
-		{"once", AnsweredError, 0, false, 0, 1},
-		{"once", Unknown, 0, false, 0, 1},
-		{"keyed", ConnectionBroken, 0, true, 0, 0},
-		{"keyed", ConnectionBroken, 4 * second, false, 0, 1}, // after the class's DedupWindow
-		{"celled", ConnectionBroken, 0, false, 0, 1},         // the other backend is in another cell
-		{"zoned", ConnectionBroken, 0, false, 0, 1},          // and in another zone
-		{"celled", Rejected, 0, true, 0, 0},
+		{"unsafe", Rejected, 0, true, 0, 0},
+		{"unsafe", NoConnection, 0, true, 0, 0},
+		{"unsafe", TimedOut, 0, false, 0, 1},
+		{"unsafe", AnsweredError, 0, false, 0, 1},
+		{"unsafe", Unknown, 0, false, 0, 1},
+		{"dedup", ConnectionBroken, 0, true, 0, 0},
+		{"dedup", ConnectionBroken, 4 * second, false, 0, 1}, // after the class's DedupWindow
+		{"dedup-cell", ConnectionBroken, 0, false, 0, 1},     // the other backend is in another cell
+		{"dedup-zone", ConnectionBroken, 0, false, 0, 1},     // and in another zone
+		{"dedup-cell", Rejected, 0, true, 0, 0},
 	} {
 		tg := newTestGateway(t, testSettings(), testBackends(2)...)
-		id, actions := tg.submit(test.class, "wide", 1)
+		id, actions := tg.submit(test.class, "large", 1)
 		first := sendActions(actions)[0]
 		tg.now += test.delay
 		actions = tg.endAttempt(id, first.Backend, 0, test.result)
 		rejects, fails := countFinalAnswers(actions)
 		if got := sendActions(actions); (len(got) == 1) != test.wantRetry || rejects != test.wantRejects ||
 			fails != test.wantFails {
-			t.Errorf("%s after result %d: got sends %v, %d rejections and %d failures, want those of the case",
+			t.Errorf("%s after result %d: got sends %v, %d rejections and %d failures, want those of the test case",
 				test.class, test.result, got, rejects, fails)
 		}
 		if slotsInUse(tg.gateway) != boolToInt(test.wantRetry) {
@@ -49,11 +49,11 @@
 		class       string
 		result      Result // of the first attempt
 		wantLimited bool
-	}{{"keyed", ConnectionBroken, true}, {"keyed", NoConnection, false}, {"safe", ConnectionBroken, false}} {
+	}{{"dedup", ConnectionBroken, true}, {"dedup", NoConnection, false}, {"safe", ConnectionBroken, false}} {
 		settings := testSettings()
 		settings.AnswerGrace = 8 * ms
 		tg := newTestGateway(t, settings, testBackends(2)...)
-		id, actions := tg.submit(test.class, "wide", 1)
+		id, actions := tg.submit(test.class, "large", 1)
 		if first := sendActions(actions)[0]; first.StartWithin != 0 {
 			t.Errorf("%s: got StartWithin %v for the first attempt, want 0", test.class, first.StartWithin)
 		}
@@ -73,7 +73,7 @@
 	settings := testSettings()
 	settings.MaxAttempts = 5
 	tg := newTestGateway(t, settings, testBackends(9)...)
-	id, actions := tg.submit("safe", "wide", 1)
+	id, actions := tg.submit("safe", "large", 1)
 	for attempt := range 3 {
 		if len(sendActions(actions)) != 1 {
 			t.Fatalf("attempt %d: got %v, want one send", attempt, actions)
@@ -89,13 +89,13 @@
 	settings := testSettings()
 	settings.MaxAttempts = 2
 	tg := newTestGateway(t, settings, testBackends(3)...)
-	id, actions := tg.submit("safe", "wide", 1)
+	id, actions := tg.submit("safe", "large", 1)
 	actions = tg.endAttempt(id, sendActions(actions)[0].Backend, 0, AnsweredError)
 	actions = tg.endAttempt(id, sendActions(actions)[0].Backend, 1, AnsweredError)
 	if rejects, _ := countFinalAnswers(actions); rejects != 1 || len(sendActions(actions)) != 0 {
 		t.Errorf("after the last attempt: got %v, want a rejection and no send", actions)
 	}
-	id, actions = tg.submit("safe", "wide", 1)
+	id, actions = tg.submit("safe", "large", 1)
 	tg.now += 6*second - 10*ms
 	actions = tg.endAttempt(id, sendActions(actions)[0].Backend, 0, AnsweredError)
 	if rejects, _ := countFinalAnswers(actions); rejects != 1 || len(sendActions(actions)) != 0 {
@@ -104,9 +104,9 @@
 }
 
 func TestClientTimeoutGivesOneFinalAnswer(t *testing.T) {
-	for class, wantFail := range map[string]bool{"safe": false, "once": true, "celled": true} {
+	for class, wantFail := range map[string]bool{"safe": false, "unsafe": true, "dedup-cell": true} {
 		tg := newTestGateway(t, testSettings(), testBackends(1)...)
-		id, actions := tg.submit(class, "wide", 1)
+		id, actions := tg.submit(class, "large", 1)
 		backend := sendActions(actions)[0].Backend
 		tg.now += 6 * second
 		actions = tg.handle(Timer{Token: tg.gateway.lastSeq})
@@ -127,7 +127,7 @@
 // the last.
 func TestAttemptsOfARequestDoNotOverlap(t *testing.T) {
 	tg := newTestGateway(t, testSettings(), testBackends(3)...)
-	id, actions := tg.submit("safe", "wide", 1)
+	id, actions := tg.submit("safe", "large", 1)
 	first := sendActions(actions)[0]
 	tg.now += 5 * second // without an answer
 	if actions = tg.handle(Timer{Token: 0}); len(sendActions(actions)) != 0 {
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -30,6 +30,7 @@
 			actions = gateway.Handle(now, Timer{Token: 0}, actions[:0])
 			tick += second
 		}
+		// Customers of the plan basic use 200 gateways, those of estate use 6.
 		plan, gatewayCount := settings.Plans[i%2].Name, 200-194*(i%2)
 		id := RequestID(i + 1)
 		actions = gateway.Handle(now, Request{ID: id, Customer: CustomerID(rng.IntN(3000)), Class: "safe", Plan: plan,
--- a/internal/gateway/ceiling_test.go
+++ b/internal/gateway/ceiling_test.go
@@ -9,7 +9,7 @@
 	tg := newTestGateway(t, settings, testBackends(2)...)
 	sent := func(requests int) (count int) {
 		for range requests {
-			_, actions := tg.submit("safe", "capped", 9)
+			_, actions := tg.submit("safe", "ceiling", 9)
 			count += len(sendActions(actions))
 		}
 		return count
@@ -37,7 +37,7 @@
 	tg := newTestGateway(t, testSettings(), testBackends(2)...)
 	got := 0
 	for range 5 {
-		_, actions := tg.submit("safe", "open", 3)
+		_, actions := tg.submit("safe", "in-flight", 3)
 		got += len(sendActions(actions))
 	}
 	if got != 2 {
@@ -53,12 +53,12 @@
 	settings.Plans[3].MaxInFlight = 2 // one at each gateway
 	tg := newTestGateway(t, settings, testBackends(3)...)
 	tg.gateway.meanLatency = 0.6 // seconds
-	sentID, actions := tg.submit("safe", "open", 3)
+	sentID, actions := tg.submit("safe", "in-flight", 3)
 	if len(sendActions(actions)) != 1 {
 		t.Fatalf("first request: got %+v, want one send", actions)
 	}
-	queuedID, queuedActions := tg.submit("safe", "open", 3)
-	_, thirdActions := tg.submit("safe", "open", 3)
+	queuedID, queuedActions := tg.submit("safe", "in-flight", 3)
+	_, thirdActions := tg.submit("safe", "in-flight", 3)
 	if len(sendActions(queuedActions))+len(sendActions(thirdActions)) != 0 {
 		t.Fatalf("got %+v and %+v at the limit of attempts in flight, want no sends", queuedActions, thirdActions)
 	}
@@ -75,7 +75,7 @@
 		t.Fatalf("got %+v when the attempt ended, want a send of the queued request", actions)
 	}
 	tg.now += 300 * ms
-	_, actions = tg.submit("safe", "open", 3)
+	_, actions = tg.submit("safe", "in-flight", 3)
 	var queueTimer SetTimer
 	for _, action := range actions {
 		if timer, ok := action.(SetTimer); ok {
--- a/internal/gateway/concurrency_test.go
+++ b/internal/gateway/concurrency_test.go
@@ -86,7 +86,7 @@
 func TestOverdueAttemptsLowerTheLimit(t *testing.T) {
 	tg := newTestGateway(t, testSettings(), testBackends(3)...)
 	for i := range 30 {
-		tg.submit("safe", "wide", CustomerID(i))
+		tg.submit("safe", "large", CustomerID(i))
 	}
 	tg.now += 1100 * ms
 	tg.handle(Timer{Token: 0})
@@ -100,11 +100,11 @@
 func TestLimitIsLoweredBeforeABurstIsLate(t *testing.T) {
 	tg := newTestGateway(t, testSettings(), testBackends(3)...)
 	for i := range 30 {
-		id, actions := tg.submit("safe", "wide", CustomerID(i))
+		id, actions := tg.submit("safe", "large", CustomerID(i))
 		tg.endAttempt(id, sendActions(actions)[0].Backend, 0, Answered)
 	}
 	for i := range 200 {
-		tg.submit("safe", "wide", CustomerID(i))
+		tg.submit("safe", "large", CustomerID(i))
 	}
 	tg.now += 300 * ms // nothing is late yet
 	tg.handle(Timer{Token: 0})
@@ -124,20 +124,22 @@
 	}
 }
 
-// In a fleet of hundreds of gateways the limit of each must be able to fall below 1. A lower bound of one attempt per
-// gateway was an overload of its own that never ended (issues ifd7116, i2d298a, ibf5006).
+// In a fleet of hundreds of gateways the limit of each must be able to fall below 1. In several incidents, a lower
+// bound of one attempt per gateway kept so many attempts in flight over all gateways that it was an overload by itself,
+// which never ended.
 func TestLimitFallsBelowOneWithManyGateways(t *testing.T) {
 	settings := testSettings()
 	settings.Gateways = 600
 	tg := newTestGateway(t, settings, testBackends(60)...)
-	var history [][]Action // of each request
-	for i := range 90 {    // requests that are not answered; their clients time out after six seconds
+	var actionsByRequest [][]Action // in the order of the requests
+	for i := range 90 {             // requests that are not answered; their clients time out after six seconds
 		for range 3 {
-			_, actions := tg.submit("safe", "wide", CustomerID(i))
-			history = append(history, actions)
+			_, actions := tg.submit("safe", "large", CustomerID(i))
+			actionsByRequest = append(actionsByRequest, actions)
 		}
 		tg.now += second
-		for _, actions := range history[max(0, len(history)-21):max(0, len(history)-18)] {
+		// The clients of the three requests of six rounds ago have timed out.
+		for _, actions := range actionsByRequest[max(0, len(actionsByRequest)-21):max(0, len(actionsByRequest)-18)] {
 			for _, send := range sendActions(actions) {
 				tg.handle(Outcome{Request: send.Request, Backend: send.Backend, Result: TimedOut, Duration: 6 * second,
 					Final: true})
--- a/internal/gateway/customer_model_specs_test.go
+++ b/internal/gateway/customer_model_specs_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// customerModelSpecs returns models with different fleets, customers and settings, as different as the documentation
-// allows.
+// customerModelSpecs returns models whose fleets, customers and settings differ as widely as the operators'
+// specification allows.
 func customerModelSpecs() map[string]customerModelSpec {
 	class := func(name string, value, requestShare, fixedUnits, meanUnits float64) modelClass {
 		return modelClass{Class: Class{Name: name, Effect: Safe, TargetLatency: 2 * second, Deadline: 6 * second,
--- a/internal/gateway/customer_model_test.go
+++ b/internal/gateway/customer_model_test.go
@@ -40,7 +40,7 @@
 	plans               []modelPlan
 	classes             []modelClass
 	heavyShare          float64 // share of the customers that request 1.6 to 5 times their quota
-	minLightUtilization float64 // least utilization of the others, at least 0.15
+	minLightUtilization float64 // least utilization of the others; values below 0.15 count as 0.15
 	maxRetries          int     // client retries of a request
 	restarts            bool    // 1 in 20 gateways restarts every second
 	maxExcessCost       float64 // bound on the cost of excess, as a share of the offered value
@@ -88,7 +88,7 @@
 // valueTotals sums up values, and the cost of excess in the same unit.
 type valueTotals struct{ offered, served, excessCost float64 }
 
-// clientRequest is what a client requests, in a first request and its client retries.
+// clientRequest is one piece of work that a client requests, by a first request and its client retries.
 type clientRequest struct {
 	customer     int // index in customerModel.customers
 	class        int // index in customerModelSpec.classes
@@ -161,11 +161,11 @@
 				sentBucket: tokenBucket{plan.Burst, m.now}, requestedBucket: tokenBucket{plan.Burst, m.now},
 				unitsByPeriod: map[int64]float64{}, maxInFlightByPeriod: map[int64]float64{}}
 			switch x := rng.Float64(); {
-			case x < m.spec.heavyShare:
+			case x < m.spec.heavyShare: // always requests a multiple of its quota
 				customer.utilization = 1.6 + 3.4*rng.Float64()
-			case x < m.spec.heavyShare+0.15:
+			case x < m.spec.heavyShare+0.15: // uses nearly all of its quota
 				customer.utilization = 0.85 + 0.1*rng.Float64()
-			case x < m.spec.heavyShare+0.3:
+			case x < m.spec.heavyShare+0.3: // requests a multiple of its quota in spikes
 				customer.hasSpikes, customer.spikeUtilization = true, 3+5*rng.Float64()
 				customer.spikeDuration = seconds(1 + 3*rng.Float64())
 				customer.spikeAt = m.now + seconds(15*rng.Float64())
@@ -181,7 +181,7 @@
 	}
 }
 
-// drawWeights draws new weights of the customer's gateways and the time of the next change.
+// drawWeights draws new weights of the customer's gateways, and when they change next: in 7 to 24 s.
 func (c *modelCustomer) drawWeights(now time.Duration, rng *rand.Rand) {
 	c.cumulativeWeights, c.nextShiftAt = make([]float64, c.gatewayCount), now+seconds(7+17*rng.Float64())
 	sum := 0.0
@@ -249,7 +249,7 @@
 	return index, gatewayRequest
 }
 
-// value returns the full value of a request within its quota.
+// value returns the value that a request has if it is within the quota.
 func (m *customerModel) value(request *clientRequest) float64 {
 	return m.spec.classes[request.class].Value * m.spec.plans[m.customers[request.customer].plan].ValueFactor *
 		request.units
@@ -292,7 +292,8 @@
 	customer.maxInFlightByPeriod[period] = max(customer.maxInFlightByPeriod[period], float64(customer.inFlight))
 }
 
-// recordAttemptEnd records the end of an attempt. The first one of a clientRequest serves it.
+// recordAttemptEnd records the end of an attempt. The first to end counts as serving the clientRequest, even if it ends
+// because its gateway restarts.
 func (m *customerModel) recordAttemptEnd(sent Request) {
 	request := m.clientRequests[sent.ID]
 	m.customers[request.customer].inFlight--
@@ -309,8 +310,8 @@
 	}
 }
 
-// scheduleRetry schedules the client retry of a rejected request, if any is left. Some clients follow Retry-After, and
-// about half of the retries come through the same gateway, the others through any gateway of the customer.
+// scheduleRetry schedules the client retry of a rejected request, if any is left. 60% of the retries wait for at
+// least Retry-After, and 55% come through the same gateway, the others through any gateway of the customer.
 func (m *customerModel) scheduleRetry(rejected Request, retryAfter time.Duration) {
 	request := m.clientRequests[rejected.ID]
 	if request.requestCount > m.spec.maxRetries {
@@ -344,8 +345,8 @@
 }
 
 // run simulates the fleet for the length in seconds.
-func (m *customerModel) run(length float64) {
-	end := m.now + seconds(length)
+func (m *customerModel) run(lengthSeconds float64) {
+	end := m.now + seconds(lengthSeconds)
 	for m.now < end {
 		m.runUntil(m.now+second, m.cumulativeRates[len(m.cumulativeRates)-1], m.nextRequest)
 		for range m.spec.gateways / 20 * boolToInt(m.spec.restarts) {
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -40,13 +40,17 @@
 // emit appends an action to those that Handle returns.
 func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
+// timerTolerance is how much earlier than planned a timer may fire, as timers are truncated to microseconds.
+const timerTolerance = time.Millisecond
+
 // onTimer handles a timer. Token 0 is the tick of every second. Any other token is the seq of a request, whose time in
-// the queue or whose client's timeout is over.
+// the queue or whose client's timeout is over. A request that is no longer queued is answered only at its deadline: an
+// earlier timer is its queue timer, and it has been sent since.
 func (g *Gateway) onTimer(token uint64) {
 	if token == 0 {
 		g.tick()
 	} else if request := g.requestsBySeq[token]; request != nil && !request.ended && !request.streamed &&
-		(request.queued || g.now+time.Millisecond >= request.deadline) { // else it is the queue timer of one sent since
+		(request.queued || g.now+timerTolerance >= request.deadline) {
 		g.answerFinally(request)
 	}
 }
--- a/internal/gateway/excess.go
+++ b/internal/gateway/excess.go
@@ -12,9 +12,11 @@
 // have per unit of its cost to be admitted with certainty.
 
 const (
-	excessBudget        = 0.07 // target cost of excess, as a share of the value within quotas; 0.1 is allowed
-	minClassAdmission   = 0.50 // least admitted share of a class's value within quotas; a half is required
-	minUnknownAdmission = 0.30 // least admitted share of the clients of unknown customers; a third is required
+	// The operators' acceptance limits allow a cost of excess of 0.1 and require that a half of each class's value and
+	// a third of the clients of unknown customers are admitted.
+	excessBudget        = 0.07 // target cost of excess, as a share of the value within quotas
+	minClassAdmission   = 0.50 // least admitted share of a class's value within quotas
+	minUnknownAdmission = 0.30 // least admitted share of the clients of unknown customers
 
 	initialPrice   = 4.0   // shadow price at the start
 	minPrice       = 1.0   // least shadow price; below 1, more is lost beyond quotas than gained within them
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -8,9 +8,8 @@
 	"time"
 )
 
-// The fleet tests run many gateways on one simulated clock. The gateways share nothing but the events that they are
-// given, and the tests bound the sum over all of them, including gateways that restart without any state and those that
-// get most of the traffic. Attempts take random times, as at backends that are half loaded.
+// The fleet tests run many gateways on one simulated clock, each of which sees only its own events, and bound the sum
+// over all of them. Some gateways restart without any state, and a few get most of the traffic.
 
 // scheduledEvent is an event that a gateway is given at a time, unless the gateway has restarted before.
 type scheduledEvent struct {
@@ -50,14 +49,13 @@
 	requests      map[RequestID]Request
 	attemptCounts map[RequestID]int
 	meterReading  func(CustomerID) (float64, bool) // reading of the meter that an answer reports now, percent
-
-	onSend       func(request Request, backend BackendID, isFirst bool)
-	onAttemptEnd func(request Request) // an attempt has ended, or its gateway restarts
-	onReject     func(request Request, retryAfter time.Duration)
+	onSend        func(request Request, backend BackendID, isFirst bool)
+	onAttemptEnd  func(request Request) // an attempt has ended, or its gateway restarts
+	onReject      func(request Request, retryAfter time.Duration)
 }
 
 const simulationStart = 1000 * second // time at which the clock starts
-const meanAttemptTime = 100 * ms      // mean duration of an attempt
+const meanAttemptTime = 100 * ms      // mean of the random durations of the attempts, as at half-loaded backends
 
 func newSimulatedFleet(t *testing.T, settings Settings, seed uint64, backends int) *simulatedFleet {
 	f := &simulatedFleet{t: t, settings: settings, rng: rand.New(rand.NewPCG(seed, 9)), now: simulationStart,
@@ -166,20 +164,20 @@
 // All gateways together keep a customer within its ceiling and its limit of attempts in flight, whatever the number of
 // its gateways and the traffic of each, and while gateways restart without any state.
 func TestFleetKeepsCeilingsAndAttemptLimits(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		gatewayCount, maxInFlight int
 		burst, maxUnits           float64 // burst of the ceiling; units of the largest request
 		rate                      float64 // of the quota; the ceiling has twice that
 	}{{2, 3, 60, 8, 20}, {4, 3, 64, 8, 20}, {4, 2, 64, 8, 20}, {3, 4, 60, 8, 20}, {5, 7, 80, 8, 20}, {20, 3, 8, 1, 20},
 		{30, 2, 8, 2, 20}, {12, 40, 20, 8, 20}, {20, 3, 400, 1, 400}, {30, 2, 800, 2, 400}, {15, 4, 240, 8, 400}} {
 		settings := testSettings()
-		settings.Gateways, settings.MaxRequestUnits = 30, c.maxUnits
-		plan := Plan{Name: "estate", Rate: c.rate, Burst: c.burst / 2, ValueFactor: 1,
-			MaxInFlight: c.maxInFlight, CeilingRate: 2 * c.rate, CeilingBurst: c.burst, CeilingSlack: c.maxUnits}
+		settings.Gateways, settings.MaxRequestUnits = 30, test.maxUnits
+		plan := Plan{Name: "all", Rate: test.rate, Burst: test.burst / 2, ValueFactor: 1, MaxInFlight: test.maxInFlight,
+			CeilingRate: 2 * test.rate, CeilingBurst: test.burst, CeilingSlack: test.maxUnits}
 		settings.Plans = append(settings.Plans, plan)
 		for seed := range uint64(3) {
 			fleet := newSimulatedFleet(t, settings, seed, 10)
-			const customers, length = 3, 20.0
+			const customers, lengthSeconds = 3, 20.0
 			var level [customers]float64
 			var levelAt [customers]time.Duration
 			var inFlight, maxInFlight [customers]int
@@ -193,7 +191,7 @@
 			}
 			sent := 0
 			for id := range level {
-				level[id], levelAt[id], inFlightAt[id] = c.burst, fleet.now, fleet.now
+				level[id], levelAt[id], inFlightAt[id] = test.burst, fleet.now, fleet.now
 			}
 			fleet.onSend = func(request Request, _ BackendID, isFirst bool) {
 				id := request.Customer
@@ -202,36 +200,37 @@
 					return
 				}
 				sent++
-				level[id] = min(c.burst, level[id]+plan.CeilingRate*(fleet.now-levelAt[id]).Seconds()) - request.Units
+				level[id] = min(test.burst, level[id]+plan.CeilingRate*(fleet.now-levelAt[id]).Seconds()) -
+					request.Units
 				if levelAt[id] = fleet.now; level[id] < -1e-6 {
-					t.Fatalf("%+v seed %d: got level %v of the ceiling's bucket, want >= 0", c, seed, level[id])
+					t.Fatalf("%+v seed %d: got level %v of the ceiling's bucket, want >= 0", test, seed, level[id])
 				}
 			}
 			fleet.onAttemptEnd = func(request Request) { addInFlight(request.Customer, -1) }
 			nextRequest := func() (int, Request) {
 				id := fleet.rng.IntN(customers)
 				firstGateway := 7 * id
-				return fleet.pickUnevenly(firstGateway, c.gatewayCount), Request{Customer: CustomerID(id),
-					Class: "safe", Plan: plan.Name, Units: 1 + float64(fleet.rng.IntN(int(c.maxUnits))),
-					Timeout: 3 * second, FirstGateway: firstGateway, GatewayCount: c.gatewayCount}
+				return fleet.pickUnevenly(firstGateway, test.gatewayCount), Request{Customer: CustomerID(id),
+					Class: "safe", Plan: plan.Name, Units: 1 + float64(fleet.rng.IntN(int(test.maxUnits))),
+					Timeout: 3 * second, FirstGateway: firstGateway, GatewayCount: test.gatewayCount}
 			}
-			for range int(length) {
+			for range int(lengthSeconds) {
 				fleet.runUntil(fleet.now+second, 200, nextRequest)
 				for range 3 {
 					fleet.start(fleet.rng.IntN(settings.Gateways))
 				}
 			}
 			for id, count := range maxInFlight {
-				if limit := max(c.maxInFlight, c.gatewayCount); count > limit { // a share below one attempt allows one
-					t.Errorf("%+v seed %d: got %d of customer %d in flight, want <= %d", c, seed, count, id, limit)
+				if limit := max(test.maxInFlight, test.gatewayCount); count > limit { // a share below one allows one
+					t.Errorf("%+v seed %d: got %d of customer %d in flight, want <= %d", test, seed, count, id, limit)
 				}
-				if mean := inFlightTime[id] / length; mean > float64(c.maxInFlight)+1 { // the rule has a slack of one
+				if mean := inFlightTime[id] / lengthSeconds; mean > float64(test.maxInFlight)+1 { // one more is allowed
 					t.Errorf("%+v seed %d: got %.2f attempts of customer %d in flight on average, want <= %d",
-						c, seed, mean, id, c.maxInFlight+1)
+						test, seed, mean, id, test.maxInFlight+1)
 				}
 			}
 			if sent < 100 {
-				t.Errorf("%+v seed %d: got %d requests sent, want at least 100", c, seed, sent)
+				t.Errorf("%+v seed %d: got %d requests sent, want at least 100", test, seed, sent)
 			}
 		}
 	}
@@ -241,7 +240,7 @@
 // gateways restart at the moment at which half of the backends are replaced, so that they have no history of them.
 func TestRestartingFleetDoesNotOverloadColdBackends(t *testing.T) {
 	const gateways, backends, replaced, gatewayRate = 150, 90, 45, 10.0
-	const capacity = 20.0 // attempts/s of a warm backend: two cores and meanAttemptTime; the load is 83 % of it
+	const capacity = 20.0 // attempts/s of a warm backend: two cores and meanAttemptTime; the load is 83% of it
 	settings := testSettings()
 	settings.Gateways, settings.ColdCapacity, settings.WarmUpTime, settings.OverloadMultiple,
 		settings.OverloadTime = gateways, 0.19, 15*second, 3, 1500*ms
@@ -249,7 +248,7 @@
 		fleet := newSimulatedFleet(t, settings, seed, backends)
 		nextRequest := func() (int, Request) {
 			return fleet.pickUnevenly(0, gateways), Request{Customer: CustomerID(fleet.rng.IntN(5000)), Class: "safe",
-				Plan: "wide", Units: 1, Timeout: 3 * second, GatewayCount: gateways}
+				Plan: "large", Units: 1, Timeout: 3 * second, GatewayCount: gateways}
 		}
 		fleet.runUntil(fleet.now+8*second, gateways*gatewayRate, nextRequest)
 		replacedAt := fleet.now
@@ -286,9 +285,9 @@
 }
 
 // All gateways together send about the quota of a customer that requests a multiple of it, if the meter's readings come
-// with the answers. The only excess allowed is what no gateway can know of until a reading shows it.
+// with the answers. Gateways exceed it only by sends of other gateways that no reading shows yet.
 func TestFleetSendsAboutTheQuota(t *testing.T) {
-	const gateways, meterDelay, length = 8, 700 * ms, 30.0
+	const gateways, meterDelay, lengthSeconds = 8, 700 * ms, 30.0
 	settings := testSettings()
 	settings.Gateways, settings.MeterPeriod, settings.MaxRequestUnits = gateways, 500*ms, 2
 	plan := Plan{Name: "business", Rate: 12, Burst: 24, ValueFactor: 1}
@@ -311,8 +310,8 @@
 			return fleet.pickUnevenly(0, gateways), Request{Customer: 1, Class: "safe", Plan: plan.Name,
 				Units: 1 + float64(fleet.rng.IntN(2)), Timeout: 3 * second, GatewayCount: gateways}
 		}
-		fleet.runUntil(fleet.now+seconds(length), 5*plan.Rate, nextRequest)
-		quota := plan.Burst + plan.Rate*length
+		fleet.runUntil(fleet.now+seconds(lengthSeconds), 5*plan.Rate, nextRequest)
+		quota := plan.Burst + plan.Rate*lengthSeconds
 		t.Logf("seed %d: %.0f units sent, the quota is %.0f", seed, total, quota)
 		if total > 1.5*quota || total < quota/2 {
 			t.Errorf("seed %d: got %.0f units sent, want %.0f to %.0f", seed, total, quota/2, 1.5*quota)
@@ -323,9 +322,9 @@
 // In a large fleet, most requests of a customer are the first that their gateway gets from it, and little is sent
 // beyond the quota. Admitting all first requests makes 0.26 to 0.30 of the units sent excess; customers that request
 // four times their quota must have less. Customers that request half of theirs must get at least about half of that,
-// including some large requests. Some gateways restart without any state. The test computes the true levels.
+// including some of 6 units or more. Some gateways restart without any state. The test computes the true levels.
 func TestLargeFleetSendsLittleBeyondTheQuota(t *testing.T) {
-	const gateways, meterDelay, length, heavy, light = 150, 700 * ms, 30.0, 4, 12
+	const gateways, meterDelay, lengthSeconds, heavyCount, lightCount = 150, 700 * ms, 30.0, 4, 12
 	settings := testSettings()
 	settings.Gateways, settings.MeterPeriod, settings.MaxRequestUnits = gateways, 500*ms, 8
 	plan := Plan{Name: "basic", Rate: 4, Burst: 16, ValueFactor: 1, ExcessCostShare: 1}
@@ -338,7 +337,7 @@
 			levelAt       time.Duration
 			unitsByPeriod map[time.Duration]float64 // units sent in each period of the meter
 		}
-		customers := make([]customerQuota, heavy+light)
+		customers := make([]customerQuota, heavyCount+lightCount)
 		for i := range customers {
 			customers[i] = customerQuota{plan.Burst, fleet.now, map[time.Duration]float64{}}
 		}
@@ -352,7 +351,7 @@
 			customer.levelAt = fleet.now
 			customer.unitsByPeriod[fleet.now/settings.MeterPeriod] += request.Units
 			sent += request.Units
-			if request.Customer >= heavy {
+			if request.Customer >= heavyCount {
 				lightSent += request.Units
 				largeSent += float64(boolToInt(request.Units >= 6))
 			}
@@ -372,12 +371,12 @@
 			if requests++; requests%500 == 0 {
 				fleet.start(fleet.rng.IntN(gateways))
 			}
-			id := CustomerID(fleet.rng.IntN(heavy))
-			if fleet.rng.Float64() < light*lightRate/(light*lightRate+heavy*heavyRate) {
-				id = heavy + CustomerID(fleet.rng.IntN(light))
+			id := CustomerID(fleet.rng.IntN(heavyCount))
+			if fleet.rng.Float64() < lightCount*lightRate/(lightCount*lightRate+heavyCount*heavyRate) {
+				id = heavyCount + CustomerID(fleet.rng.IntN(lightCount))
 			}
 			units := min(8, 1+math.Floor(fleet.rng.ExpFloat64()*1.5))
-			if id >= heavy {
+			if id >= heavyCount {
 				lightRequested += units
 				largeRequested += float64(boolToInt(units >= 6))
 			}
@@ -385,7 +384,8 @@
 				Timeout: 3 * second, GatewayCount: gateways}
 		}
 		const meanUnits = 2.0
-		fleet.runUntil(fleet.now+seconds(length), (heavy*heavyRate+light*lightRate)*plan.Rate/meanUnits, nextRequest)
+		fleet.runUntil(fleet.now+seconds(lengthSeconds),
+			(heavyCount*heavyRate+lightCount*lightRate)*plan.Rate/meanUnits, nextRequest)
 		t.Logf("seed %d: %.3f of the units sent are excess; light customers had %.2f of the units and %.2f of the "+
 			"large requests sent", seed, excess/sent, lightSent/lightRequested, largeSent/largeRequested)
 		if excess > 0.23*sent || lightSent < 0.5*lightRequested {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -38,7 +38,7 @@
 
 func TestStaleAndUnknownEventsHaveNoEffect(t *testing.T) {
 	tg := newTestGateway(t, testSettings(), testBackends(2)...)
-	id, actions := tg.submit("safe", "wide", 1)
+	id, actions := tg.submit("safe", "large", 1)
 	backend := sendActions(actions)[0].Backend
 	tg.endAttempt(id, backend, 0, Answered)
 	for _, ev := range []Event{
@@ -58,7 +58,7 @@
 }
 
 func TestInvalidRequestsAndThoseWithoutABackendAreRejected(t *testing.T) {
-	valid := Request{ID: 1, Class: "safe", Plan: "wide", Units: 1, Timeout: second, GatewayCount: 1}
+	valid := Request{ID: 1, Class: "safe", Plan: "large", Units: 1, Timeout: second, GatewayCount: 1}
 	cases := map[string]func(*Request){
 		"unknown class":  func(request *Request) { request.Class = "?" },
 		"unknown plan":   func(request *Request) { request.Plan = "?" },
@@ -85,8 +85,8 @@
 	for i := range 500 {
 		left.now += 3 * ms
 		right.now = left.now
-		_, leftActions := left.submit("safe", "rated", CustomerID(i%9))
-		_, rightActions := right.submit("safe", "rated", CustomerID(i%9))
+		_, leftActions := left.submit("safe", "small", CustomerID(i%9))
+		_, rightActions := right.submit("safe", "small", CustomerID(i%9))
 		if i%50 == 0 {
 			leftActions, rightActions =
 				append(leftActions, left.handle(Timer{})...), append(rightActions, right.handle(Timer{})...)
@@ -100,7 +100,7 @@
 func TestIdleCustomersAreDeleted(t *testing.T) {
 	tg := newTestGateway(t, testSettings(), testBackends(1)...)
 	for i := range 1000 {
-		id, actions := tg.submit("safe", "rated", CustomerID(i))
+		id, actions := tg.submit("safe", "small", CustomerID(i))
 		tg.endAttempt(id, sendActions(actions)[0].Backend, 0, Answered)
 	}
 	tg.now += customerIdleTime + second
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -14,20 +14,20 @@
 		WarmUpTime: 10 * second, OverloadMultiple: 2.5, OverloadTime: second, MaxRetryAfter: second,
 		Classes: []Class{
 			{Name: "safe", Effect: Safe, TargetLatency: 2 * second, Deadline: 6 * second, Value: 1},
-			{Name: "dear", Effect: Safe, TargetLatency: 2 * second, Deadline: 6 * second, Value: 5},
-			{Name: "once", Effect: Unsafe, TargetLatency: 2 * second, Deadline: 6 * second, Value: 3},
-			{Name: "keyed", Effect: Deduplicated, Scope: ScopeAll, DedupWindow: 3 * second, TargetLatency: 2 * second,
-				Deadline: 6 * second, Value: 3},
-			{Name: "celled", Effect: Deduplicated, Scope: ScopeCell, DedupWindow: 3 * second, TargetLatency: 2 * second,
-				Deadline: 6 * second, Value: 3},
-			{Name: "zoned", Effect: Deduplicated, Scope: ScopeZone, DedupWindow: 3 * second, TargetLatency: 2 * second,
-				Deadline: 6 * second, Value: 3},
+			{Name: "valuable", Effect: Safe, TargetLatency: 2 * second, Deadline: 6 * second, Value: 5},
+			{Name: "unsafe", Effect: Unsafe, TargetLatency: 2 * second, Deadline: 6 * second, Value: 3},
+			{Name: "dedup", Effect: Deduplicated, Scope: ScopeAll, DedupWindow: 3 * second,
+				TargetLatency: 2 * second, Deadline: 6 * second, Value: 3},
+			{Name: "dedup-cell", Effect: Deduplicated, Scope: ScopeCell, DedupWindow: 3 * second,
+				TargetLatency: 2 * second, Deadline: 6 * second, Value: 3},
+			{Name: "dedup-zone", Effect: Deduplicated, Scope: ScopeZone, DedupWindow: 3 * second,
+				TargetLatency: 2 * second, Deadline: 6 * second, Value: 3},
 		},
 		Plans: []Plan{
-			{Name: "wide", Rate: 1000, Burst: 1000, ValueFactor: 1},
-			{Name: "rated", Rate: 2, Burst: 4, ValueFactor: 1},
-			{Name: "capped", Rate: 100, Burst: 100, ValueFactor: 1, CeilingRate: 4, CeilingBurst: 8, CeilingSlack: 1},
-			{Name: "open", MaxInFlight: 4, ValueFactor: 1},
+			{Name: "large", Rate: 1000, Burst: 1000, ValueFactor: 1},
+			{Name: "small", Rate: 2, Burst: 4, ValueFactor: 1},
+			{Name: "ceiling", Rate: 100, Burst: 100, ValueFactor: 1, CeilingRate: 4, CeilingBurst: 8, CeilingSlack: 1},
+			{Name: "in-flight", MaxInFlight: 4, ValueFactor: 1},
 		}}
 }
 
@@ -36,6 +36,8 @@
 	return gateway.inUse[highReserve] + gateway.inUse[lowReserve] + gateway.inUse[sharedPool]
 }
 
+const testStart = 1000 * second // time at which the clock of a testGateway starts
+
 // testGateway is a gateway that a test drives event by event, with the clock that the test advances.
 type testGateway struct {
 	t             *testing.T
@@ -44,17 +46,17 @@
 	lastRequestID RequestID
 }
 
-// newTestGateway returns a gateway with a saved list of the backends.
+// newTestGateway returns a gateway that has received a saved list of the backends.
 func newTestGateway(t *testing.T, settings Settings, backends ...BackendInfo) *testGateway {
 	t.Helper()
-	g := &testGateway{t: t, now: 1000 * second}
-	gateway, err := New(settings, 7, g.now)
+	tg := &testGateway{t: t, now: testStart}
+	gateway, err := New(settings, 7, tg.now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.gateway = gateway
-	g.handle(BackendList{Kind: ListSaved, Backends: backends})
-	return g
+	tg.gateway = gateway
+	tg.handle(BackendList{Kind: ListSaved, Backends: backends})
+	return tg
 }
 
 // testBackends returns n ready backends with the ids from 1, alternating between two zones and two cells.
@@ -66,12 +68,12 @@
 }
 
 // handle passes an event to the gateway at the test's present time.
-func (g *testGateway) handle(event Event) []Action { return g.gateway.Handle(g.now, event, nil) }
+func (tg *testGateway) handle(event Event) []Action { return tg.gateway.Handle(tg.now, event, nil) }
 
 // submit passes a new request of one unit to the gateway and returns its id and the resulting actions.
-func (g *testGateway) submit(class, plan string, customer CustomerID) (RequestID, []Action) {
-	g.lastRequestID++
-	return g.lastRequestID, g.handle(Request{ID: g.lastRequestID, Customer: customer, Class: class, Plan: plan,
+func (tg *testGateway) submit(class, plan string, customer CustomerID) (RequestID, []Action) {
+	tg.lastRequestID++
+	return tg.lastRequestID, tg.handle(Request{ID: tg.lastRequestID, Customer: customer, Class: class, Plan: plan,
 		Units: 1, Timeout: 6 * second, GatewayCount: 2})
 }
 
@@ -99,7 +101,7 @@
 }
 
 // endAttempt ends an attempt with the result, 100 ms after it was sent. Only an answer ends the request as well.
-func (g *testGateway) endAttempt(request RequestID, backend BackendID, attempt int, result Result) []Action {
-	return g.handle(Outcome{Request: request, Backend: backend, Attempt: attempt, Result: result,
+func (tg *testGateway) endAttempt(request RequestID, backend BackendID, attempt int, result Result) []Action {
+	return tg.handle(Outcome{Request: request, Backend: backend, Attempt: attempt, Result: result,
 		Duration: 100 * ms, Final: result == Answered})
 }
--- a/internal/gateway/health_test.go
+++ b/internal/gateway/health_test.go
@@ -9,7 +9,7 @@
 // soon all backends are cold at once. Only a backend to which no connection can be established counts as down.
 func TestOnlyFailedConnectionsInARowMakeABackendCold(t *testing.T) {
 	tg := newTestGateway(t, testSettings(), testBackends(1)...)
-	id, _ := tg.submit("safe", "wide", 1)
+	id, _ := tg.submit("safe", "large", 1)
 	tg.endAttempt(id, 1, 0, ConnectionBroken)
 	backend := tg.gateway.backends[1]
 	if backend.cold || backend.backoffUntil > tg.now {
@@ -17,7 +17,7 @@
 			backend.cold, backend.backoffUntil-tg.now)
 	}
 	for n := 1; n <= downAfterFailures; n++ {
-		id, actions := tg.submit("safe", "wide", 1)
+		id, actions := tg.submit("safe", "large", 1)
 		if len(sendActions(actions)) != 1 {
 			t.Fatalf("after %d failed connections and the backoff: got %+v, want one send", n-1, actions)
 		}
@@ -30,8 +30,11 @@
 	}
 }
 
+const slowTestLatency = 0.1 // mean latency of answers before a slow attempt, seconds
+
 // startAttempt returns a gateway with an attempt of a request of the class in flight, the request and the backend of
-// the attempt. The gateway has n backends in one cell, a mean latency of 100 ms and a full budget of cancellations.
+// the attempt. The gateway has n backends in one cell, a mean latency of slowTestLatency and a full budget of
+// cancellations.
 func startAttempt(t *testing.T, n int, class string) (tg *testGateway, id RequestID, backend BackendID) {
 	t.Helper()
 	backends := testBackends(n)
@@ -40,28 +43,29 @@
 	}
 	tg = newTestGateway(t, testSettings(), backends...)
 	for _, state := range tg.gateway.orderedClasses {
-		state.meanLatency, state.minLatency = 0.1, 0.1
+		state.meanLatency, state.minLatency = slowTestLatency, slowTestLatency
 	}
-	tg.gateway.meanLatency, tg.gateway.minLatency, tg.gateway.cancelBudget = 0.1, 0.1, maxCancelBudget
-	id, actions := tg.submit(class, "wide", 1)
+	tg.gateway.meanLatency, tg.gateway.minLatency, tg.gateway.cancelBudget =
+		slowTestLatency, slowTestLatency, maxCancelBudget
+	id, actions := tg.submit(class, "large", 1)
 	return tg, id, sendActions(actions)[0].Backend
 }
 
 // waitUntilSlow advances the time until a first attempt may be cancelled as too slow, and returns the actions that the
 // next event leads to.
 func (tg *testGateway) waitUntilSlow() []Action {
-	tg.now += seconds(cancelAfterLatencies*0.1) + ms
+	tg.now += seconds(cancelAfterLatencies*slowTestLatency) + ms
 	return tg.handle(ProbeResult{})
 }
 
-// cancels returns the Cancel actions among the actions.
-func cancels(actions []Action) (out []Cancel) {
+// cancelActions returns the Cancel actions among the actions.
+func cancelActions(actions []Action) (cancels []Cancel) {
 	for _, action := range actions {
 		if cancel, ok := action.(Cancel); ok {
-			out = append(out, cancel)
+			cancels = append(cancels, cancel)
 		}
 	}
-	return out
+	return cancels
 }
 
 // A first attempt that takes far longer than usual is cancelled and repeated at another backend, in the same slot, if
@@ -74,9 +78,9 @@
 		want        int
 	}{
 		{"safe", "safe", func(*testGateway) {}, 1},
-		{"deduplicated in its cell", "celled", func(*testGateway) {}, 1},
-		{"unsafe", "once", func(*testGateway) {}, 0},
-		{"deduplicated, no other backend in its cell", "celled", func(tg *testGateway) {
+		{"deduplicated in its cell", "dedup-cell", func(*testGateway) {}, 1},
+		{"unsafe", "unsafe", func(*testGateway) {}, 0},
+		{"deduplicated, no other backend in its cell", "dedup-cell", func(tg *testGateway) {
 			for i, backend := range slices.Collect(tg.gateway.ranking.All()) {
 				backend.Cell = i
 			}
@@ -85,7 +89,7 @@
 		{"cancellation not supported", "safe", func(tg *testGateway) { tg.gateway.settings.CanCancel = false }, 0},
 		{"client times out soon", "safe", func(tg *testGateway) {
 			for _, request := range tg.gateway.requests {
-				request.deadline = tg.now + seconds(cancelAfterLatencies*0.1) + 150*ms
+				request.deadline = tg.now + seconds(cancelAfterLatencies*slowTestLatency) + 150*ms
 			}
 		}, 0},
 	} {
@@ -94,7 +98,7 @@
 		if actions := tg.handle(ProbeResult{}); len(actions) != 0 {
 			t.Errorf("%s: got actions %+v at once, want none", test.name, actions)
 		}
-		cancelled := cancels(tg.waitUntilSlow())
+		cancelled := cancelActions(tg.waitUntilSlow())
 		if len(cancelled) != test.want {
 			t.Errorf("%s: got %d cancelled attempts, want %d", test.name, len(cancelled), test.want)
 		}
@@ -109,7 +113,7 @@
 			t.Fatalf("%s: got sends %+v with %d slots in use, want one send to another backend, in one slot",
 				test.name, repeats, slotsInUse(tg.gateway))
 		}
-		if cancelled := cancels(tg.waitUntilSlow()); len(cancelled) != 0 {
+		if cancelled := cancelActions(tg.waitUntilSlow()); len(cancelled) != 0 {
 			t.Errorf("%s: the second attempt was cancelled too, want it left in flight", test.name)
 		}
 		tg.endAttempt(id, repeats[0].Backend, 1, Answered)
@@ -126,9 +130,9 @@
 	tg, _, _ := startAttempt(t, 40, "safe")
 	const requests = 320
 	for range requests {
-		tg.submit("safe", "wide", 1)
+		tg.submit("safe", "large", 1)
 	}
-	if got, maxCancels := len(cancels(tg.waitUntilSlow())), int(maxCancelBudget); got > maxCancels || got == 0 {
+	if got, maxCancels := len(cancelActions(tg.waitUntilSlow())), int(maxCancelBudget); got > maxCancels || got == 0 {
 		t.Errorf("got %d of %d attempts cancelled at once, want at least 1 and at most %d", got, requests, maxCancels)
 	}
 }
@@ -155,7 +159,7 @@
 				other.backoffUntil = tg.now + second
 			}
 		}
-		nextID, actions := tg.submit("safe", "wide", 1)
+		nextID, actions := tg.submit("safe", "large", 1)
 		if len(sendActions(actions)) != 1 || sendActions(actions)[0].Backend != backendID {
 			t.Fatalf("next attempt: got %+v, want one send to backend %d", actions, backendID)
 		}
--- a/internal/gateway/listing_test.go
+++ b/internal/gateway/listing_test.go
@@ -7,8 +7,8 @@
 )
 
 // Random updates of the list of backends, changes and full lists, with stale, repeated and contradictory entries, come
-// while attempts are in flight. After each, the gateway has the backends that the updates read one by one give, and
-// its counts of them are right.
+// while attempts are in flight. After each update, the gateway's backends are those that result from applying all
+// updates in order, and its counts of them are right.
 func TestRandomListUpdatesAreApplied(t *testing.T) {
 	const backends, steps = 40, 3000
 	rng := rand.New(rand.NewPCG(5, 6))
@@ -25,7 +25,7 @@
 	for step := range steps {
 		tg.now += 10 * ms
 		if rng.IntN(3) == 0 {
-			_, actions := tg.submit("safe", "wide", 1)
+			_, actions := tg.submit("safe", "large", 1)
 			for _, send := range sendActions(actions) {
 				inFlight = append(inFlight, sentAttempt{send, 0})
 			}
@@ -104,7 +104,7 @@
 		tg.gateway.sendRate = 1000
 		for range 50 {
 			tg.now += ms
-			_, actions := tg.submit("safe", "wide", 1)
+			_, actions := tg.submit("safe", "large", 1)
 			send := sendActions(actions)[0]
 			count := 0
 			for backend := range tg.gateway.ranking.All() {
@@ -130,7 +130,7 @@
 	for range requests {
 		tg.now += second / (subset / 4) // at this rate of sends, subsetSize returns subset
 		tg.gateway.sendRate = subset / 4
-		_, actions := tg.submit("safe", "wide", 1)
+		_, actions := tg.submit("safe", "large", 1)
 		send := sendActions(actions)[0]
 		uses[send.Backend]++
 		tg.endAttempt(send.Request, send.Backend, 0, Answered)
--- a/internal/gateway/property_test.go
+++ b/internal/gateway/property_test.go
@@ -66,6 +66,7 @@
 	c.t.Fatalf("at %v: %s", c.now, fmt.Sprintf(format, args...))
 }
 
+// class returns the class with the name.
 func (c *ruleChecker) class(name string) Class {
 	for _, class := range c.settings.Classes {
 		if class.Name == name {
@@ -184,6 +185,7 @@
 	return result == Rejected || result == NoConnection || result == NotSent
 }
 
+// plan returns the plan with the name, or an empty one.
 func (c *ruleChecker) plan(name string) Plan {
 	for _, plan := range c.settings.Plans {
 		if plan.Name == name {
@@ -338,6 +340,7 @@
 		if seed > 8 { // many gateways with few requests each; the last two rules are over all of them
 			gateways, minSent = 40, 60
 		}
+		// Counts the sends of the gateways with an index of one digit.
 		for _, line := range runRuleChecker(t, seed, gateways, seed%2 == 0, 15000) {
 			if strings.HasPrefix(line[min(2, len(line)):], "gateway.Send") {
 				sent++
--- a/internal/gateway/quota_test.go
+++ b/internal/gateway/quota_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// quotaRig returns a gateway with one customer of the plan "rated": a rate of 2 units per second and a burst of 4
-// units, which is 200 percent-seconds.
+// newQuotaGateway returns a gateway with one customer of the plan "small", and the customer. The plan has a rate of 2
+// units per second and a burst of 4 units, which is 200 percent-seconds.
 func newQuotaGateway(t *testing.T) (*testGateway, *customerState) {
 	tg := newTestGateway(t, testSettings(), testBackends(2)...)
-	tg.submit("safe", "rated", 5)
+	tg.submit("safe", "small", 5)
 	return tg, tg.gateway.customers[5]
 }
 
@@ -43,7 +43,7 @@
 	tg, customer := newQuotaGateway(t)
 	for _, step := range []struct{ usagePercent, want float64 }{{500, 0.2}, {200, 0.1}, {0, 1}} {
 		tg.now += second
-		customer.meteredLevel, customer.meteredUntil = 0, tg.now-(1+readingDelay)*second // as one period earlier
+		customer.meteredLevel, customer.meteredUntil = 0, tg.now-(1+readingDelay)*second // as if a period had passed
 		tg.handleReading(customer, step.usagePercent)
 		if math.Abs(customer.passProbability-step.want) > 0.01 {
 			t.Errorf("after a reading of %v: got pass probability %v, want %v",
@@ -73,7 +73,7 @@
 	tg := newTestGateway(t, testSettings(), testBackends(2)...)
 	sent := 0
 	for range 20 {
-		_, actions := tg.submit("safe", "rated", 6)
+		_, actions := tg.submit("safe", "small", 6)
 		sent += len(sendActions(actions))
 	}
 	if sent < 1 || sent > 2 { // the burst of 4 over two gateways
@@ -81,29 +81,30 @@
 	}
 }
 
-// The projected level also limits a customer whose bucket is empty. With the pass probability alone, the requests that
-// passed once swung between none and a flood.
+// The projected level also limits a customer whose bucket is empty. With the pass probability alone, the number of
+// admitted requests swung between none and a flood.
 func TestProjectedLevelAppliesToAnEmptyBucket(t *testing.T) {
 	tg, customer := newQuotaGateway(t)
 	tg.now += second
 	customer.meteredLevel, customer.meteredUntil, customer.passProbability, customer.recentSends = 0, tg.now, 1, nil
-	_, actions := tg.submit("safe", "rated", 5)
+	_, actions := tg.submit("safe", "small", 5)
 	if len(sendActions(actions)) != 0 {
 		t.Error("got a send with an empty bucket and a pass probability of 1, want none")
 	}
 }
 
-// A customer of whom so much is rejected that no more readings come must get its quota back with time alone.
+// Readings come with answers. A customer whose requests are rejected until no more readings come must regain its quota
+// by time alone.
 func TestBucketRefillsWithoutReadings(t *testing.T) {
 	tg, customer := newQuotaGateway(t)
 	tg.now += second
 	tg.handleReading(customer, 900)
 	for range 200 {
-		tg.submit("safe", "rated", 5)
+		tg.submit("safe", "small", 5)
 	}
 	customer.passProbability = 0.001
 	tg.now += 8 * second
-	_, actions := tg.submit("safe", "rated", 5)
+	_, actions := tg.submit("safe", "small", 5)
 	if len(sendActions(actions)) != 1 {
 		t.Error("got no send eight seconds later, want one")
 	}
@@ -116,7 +117,7 @@
 // largest requests even with a full bucket.
 func TestLargestRequestsPassWithAFullBucket(t *testing.T) {
 	tg := newTestGateway(t, testSettings(), testBackends(2)...)
-	actions := tg.handle(Request{ID: 900, Customer: 8, Class: "safe", Plan: "rated", Units: 3.5, Timeout: second,
+	actions := tg.handle(Request{ID: 900, Customer: 8, Class: "safe", Plan: "small", Units: 3.5, Timeout: second,
 		GatewayCount: 2})
 	if len(sendActions(actions)) != 1 {
 		t.Error("got no send for a request of 3.5 units with a full bucket of 4, want one")
@@ -125,7 +126,7 @@
 
 func TestReadingsLimitAPlanWithoutARate(t *testing.T) {
 	tg := newTestGateway(t, testSettings(), testBackends(2)...)
-	_, actions := tg.submit("safe", "open", 4)
+	_, actions := tg.submit("safe", "in-flight", 4)
 	customer := tg.gateway.customers[4]
 	tg.now += second
 	tg.handleReading(customer, 400)
@@ -136,7 +137,8 @@
 }
 
 // Answers repeat a reading for up to a period, and readings jitter. A repeat is recognised by its value, so that a new
-// reading may come early. A rule by time alone lowered the result of a quiet day by 0.06, with a period of two seconds.
+// reading may come early. A rule by time alone lowered the score (from 0 to 1) of a simulated day with light load by
+// 0.06, with a meter period of two seconds.
 func TestRepeatedReadingsAreRecognisedByTheirValue(t *testing.T) {
 	tg, customer := newQuotaGateway(t)
 	tg.now += 10 * second
@@ -155,7 +157,7 @@
 // per period, and the end of the last counted period is not in the future.
 func TestReadingsOutOfOrderCountOncePerPeriod(t *testing.T) {
 	tg := newTestGateway(t, testSettings(), testBackends(2)...)
-	customer := tg.gateway.customerFor(Request{Customer: 1, Units: 1, GatewayCount: 1}, tg.gateway.plans["rated"])
+	customer := tg.gateway.customerFor(Request{Customer: 1, Units: 1, GatewayCount: 1}, tg.gateway.plans["small"])
 	start := tg.now
 	counted := 0
 	for i := range 400 {
@@ -177,9 +179,10 @@
 	}
 }
 
-// admittedShare returns the share of the requests of one customer of the plan "rated" that is admitted from the fifth
-// second on. The customer comes to each of 40 gateways every 4 s, one gateway after another, and so requests 10 units
-// per second, five times its rate. Answers report usagePercent as its use if that is 0 or more, else none.
+// admittedShare returns the share of the requests of one customer of the plan "small" that is admitted from the fifth
+// second on. Each of 40 gateways gets a request of one unit from the customer every 4 s, one gateway after another, so
+// the customer requests 10 units per second, five times its rate. Answers report usagePercent as its use, or none if
+// that is below 0.
 func admittedShare(t *testing.T, usagePercent float64) float64 {
 	const gateways = 40
 	settings := testSettings()
@@ -192,9 +195,9 @@
 	requested, admitted := 0, 0
 	for n := range 300 {
 		tg := testGateways[n%gateways]
-		tg.now = 1000*second + time.Duration(n)*100*ms
+		tg.now = testStart + time.Duration(n)*100*ms
 		tg.lastRequestID++
-		actions := tg.handle(Request{ID: tg.lastRequestID, Customer: 5, Class: "safe", Plan: "rated", Units: 1,
+		actions := tg.handle(Request{ID: tg.lastRequestID, Customer: 5, Class: "safe", Plan: "small", Units: 1,
 			Timeout: second, GatewayCount: gateways})
 		if n >= 50 {
 			requested, admitted = requested+1, admitted+len(sendActions(actions))
@@ -207,14 +210,14 @@
 	return float64(admitted) / float64(requested)
 }
 
-// One of many gateways cannot see what a customer requests elsewhere, but it would rarely meet one of low use as often
-// as this one. So it assumes a high use, unless readings show that the use is low.
+// One of many gateways cannot see what a customer requests elsewhere, but a customer of low use would rarely come to it
+// as often as this one does. So it assumes a high use, unless readings show that the use is low.
 func TestOneOfManyGatewaysAssumesHighUse(t *testing.T) {
 	for gateways, minUse := range map[int]float64{2: 0, 40: 150} {
 		settings := testSettings()
 		settings.Gateways = gateways
 		tg := newTestGateway(t, settings, testBackends(2)...)
-		tg.handle(Request{ID: 1, Customer: 5, Class: "safe", Plan: "rated", Units: 1, Timeout: second,
+		tg.handle(Request{ID: 1, Customer: 5, Class: "safe", Plan: "small", Units: 1, Timeout: second,
 			GatewayCount: gateways})
 		customer := tg.gateway.customers[5]
 		steady, perSend := customer.otherUse(tg.now)
--- a/internal/gateway/reserves_test.go
+++ b/internal/gateway/reserves_test.go
@@ -37,7 +37,7 @@
 	}
 	g.inUse[sharedPool] = 3*minExactSlots - 3
 	var slots []*heldSlot
-	take := func(highValue bool, want int) {
+	take := func(highValue bool, want int) { // want is a partition, or -1 for no slot
 		t.Helper()
 		slot := g.takeSlot(highValue)
 		if got := func() int {
@@ -110,7 +110,7 @@
 			slotSeconds += 0.1
 		}
 	}
-	if share := slotSeconds / (tg.now - 1000*second).Seconds(); share < 0.3 || share > 0.5 {
+	if share := slotSeconds / (tg.now - testStart).Seconds(); share < 0.3 || share > 0.5 {
 		t.Errorf("got %v slots in use on average (%d admitted), want 0.3 to 0.5", share, admitted)
 	}
 }
--- a/internal/gateway/selection.go
+++ b/internal/gateway/selection.go
@@ -101,8 +101,8 @@
 		(scope != ScopeCell || attempt.backend.Cell == backend.Cell)
 }
 
-// dedupRemaining returns how much longer the backends drop repeats of an attempt that may have run, less
-// AnswerGrace.
+// dedupRemaining returns how much longer the backends drop repeats of an attempt that may have run, less a
+// safety margin, so that no repeat arrives after they have dropped the key. AnswerGrace serves as the margin.
 func (g *Gateway) dedupRemaining(request *requestState, attempt *attemptState) time.Duration {
 	return request.class.DedupWindow - g.settings.AnswerGrace - (g.now - attempt.sentAt)
 }
--- a/internal/gateway/selection_test.go
+++ b/internal/gateway/selection_test.go
@@ -17,7 +17,7 @@
 		tg := newTestGateway(t, testSettings(), backends...)
 		tg.handle(list)
 		for i := range 20 {
-			_, actions := tg.submit("safe", "wide", CustomerID(i))
+			_, actions := tg.submit("safe", "large", CustomerID(i))
 			if got := sendActions(actions); len(got) != 1 || got[0].Backend != 2 {
 				t.Fatalf("%s: got sends %v, want one to backend 2", name, got)
 			}
@@ -36,7 +36,7 @@
 		tg.gateway.sendRate = test.sendRate
 		used := map[BackendID]bool{}
 		for i := range 400 {
-			id, actions := tg.submit("safe", "wide", CustomerID(i))
+			id, actions := tg.submit("safe", "large", CustomerID(i))
 			for _, send := range sendActions(actions) {
 				used[send.Backend] = true
 				tg.now += ms
@@ -57,7 +57,7 @@
 	coldSends := 0
 	for i := range 60 { // a second at twice the rate
 		tg.now += second / 60
-		_, actions := tg.submit("safe", "wide", CustomerID(i))
+		_, actions := tg.submit("safe", "large", CustomerID(i))
 		for _, send := range sendActions(actions) {
 			if send.Backend == 9 {
 				coldSends++
@@ -72,44 +72,46 @@
 
 func TestSilentBackendGetsNoMoreSends(t *testing.T) {
 	tg := newTestGateway(t, testSettings(), testBackends(4)...)
-	last := 0
+	lastSent := 0
 	for i := range 400 {
 		tg.now += 20 * ms
-		id, actions := tg.submit("safe", "wide", CustomerID(i))
+		id, actions := tg.submit("safe", "large", CustomerID(i))
 		for attempt, send := range sendActions(actions) {
 			if send.Backend == 1 {
-				last = i
+				lastSent = i
 				continue // it never answers
 			}
 			tg.endAttempt(id, send.Backend, attempt, Answered)
 		}
 	}
-	if last > 150 || tg.gateway.ranking.Len() != 4 {
-		t.Errorf("got request %d as the last sent to a silent backend, want none after 150 and the backend kept", last)
+	if lastSent > 150 || tg.gateway.ranking.Len() != 4 {
+		t.Errorf("got request %d as the last sent to a silent backend, want none after 150 and the backend kept",
+			lastSent)
 	}
 }
 
-// The overdue answers and the slowness of an idle backend decay, however high they are, so that it is tried again.
+// The overdue answers and the slowness of an idle backend decay, however high they are, so that it is sent attempts
+// again.
 func TestOverdueAndSlownessDecay(t *testing.T) {
 	for _, test := range []struct {
-		overdue, slowness  float64
-		minTries, maxTries int // requests, one every half second, until the backend is sent one
+		overdue, slowness        float64
+		minRequests, maxRequests int // requests, one every half second, until the backend is sent one
 	}{{8, 1, 2, 8}, {1, 8, 2, 30}, {75, 9, 4, 30}} {
 		tg := newTestGateway(t, testSettings(), testBackends(2)...)
 		backend := tg.gateway.backends[1]
 		backend.overdue, backend.slowness, tg.gateway.classes["safe"].meanLatency = test.overdue, test.slowness, 0.1
 		n := 0
 		for sentTo := BackendID(2); sentTo != 1; n++ {
-			if n > test.maxTries {
+			if n > test.maxRequests {
 				t.Fatalf("overdue %v, slowness %v: got no send to the backend in time, want one",
 					test.overdue, test.slowness)
 			}
 			tg.now += 500 * ms
-			id, actions := tg.submit("safe", "wide", CustomerID(n))
+			id, actions := tg.submit("safe", "large", CustomerID(n))
 			sentTo = sendActions(actions)[0].Backend
 			tg.endAttempt(id, sentTo, 0, Answered)
 		}
-		if n < test.minTries {
+		if n < test.minRequests {
 			t.Errorf("overdue %v, slowness %v: got a send after %d requests, want it later",
 				test.overdue, test.slowness, n)
 		}
@@ -135,7 +137,7 @@
 					tickAt = tg.now
 					tg.handle(Timer{})
 				}
-				id, actions := tg.submit("safe", "wide", 1)
+				id, actions := tg.submit("safe", "large", 1)
 				for _, send := range sendActions(actions) {
 					if count {
 						sent[boolToInt(send.Backend <= replaced)]++
--- a/internal/gateway/staleness_test.go
+++ b/internal/gateway/staleness_test.go
@@ -17,7 +17,7 @@
 
 // requestOne makes one request and returns it and the backend that it was sent to, or 0 if it was rejected.
 func (tg *testGateway) requestOne() (RequestID, BackendID) {
-	id, actions := tg.submit("safe", "wide", CustomerID(tg.lastRequestID%50))
+	id, actions := tg.submit("safe", "large", CustomerID(tg.lastRequestID%50))
 	if got := sendActions(actions); len(got) > 0 {
 		return id, got[0].Backend
 	}
@@ -39,7 +39,7 @@
 func TestSavedListConfirmsNoBackend(t *testing.T) {
 	for _, kind := range []ListKind{ListFull, ListChanges} {
 		tg := newTestGateway(t, leaseSettings(), testBackends(3)...)
-		_, actions := tg.submit("safe", "wide", 1)
+		_, actions := tg.submit("safe", "large", 1)
 		if rejects, _ := countFinalAnswers(actions); rejects != 1 || len(sendActions(actions)) != 0 {
 			t.Fatalf("saved list: got %v, want a rejection and no send", actions)
 		}
@@ -162,7 +162,7 @@
 			case x < 0.003:
 				record(tg.handle(BackendList{Kind: ListFailed}))
 			case x < 0.5:
-				_, actions := tg.submit("safe", "wide", CustomerID(rng.IntN(50)))
+				_, actions := tg.submit("safe", "large", CustomerID(rng.IntN(50)))
 				record(actions)
 			case x < 0.52:
 				record(tg.handle(Timer{}))
--- a/internal/gateway/unusual_settings_test.go
+++ b/internal/gateway/unusual_settings_test.go
@@ -39,7 +39,7 @@
 			change(&settings)
 			fleet := newSimulatedFleet(t, settings, 1, 20)
 			requested, sent := 0, 0
-			fleet.onSend = func(_ Request, _ BackendID, first bool) { sent += boolToInt(first) }
+			fleet.onSend = func(_ Request, _ BackendID, isFirst bool) { sent += boolToInt(isFirst) }
 			fleet.meterReading = func(CustomerID) (float64, bool) { return 10, settings.MeterPeriod > 0 }
 			nextRequest := func() (int, Request) {
 				requested++
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -46,7 +46,8 @@
 	priorUtilization = stats.Weights{0.05, 0.10, 0.12, 0.08, 0.08, 0.07, 0.06, 0.08, 0.12, 0.11, 0.08, 0.05}
 )
 
-// planUsageOf returns the usage of a plan, creating it if needed.
+// planUsageOf returns the usage of a plan, creating it if needed. Until requests come, its means of the units are a
+// guess: a quarter of the largest request on average (at least 1), with a variance of half of the squared mean.
 func (g *Gateway) planUsageOf(plan *Plan) *planUsage {
 	usage := g.planUsages[plan]
 	if usage != nil {
