--- a/internal/frontdoor/clients.go
+++ b/internal/frontdoor/clients.go
@@ -216,7 +216,7 @@
 		})
 		w.WriteHeader(http.StatusGatewayTimeout)
 	default:
-		s.badRequestLog.Do(func() { slog.Warn("rejected an invalid request", "client", r.RemoteAddr, "err", err) })
+		s.badRequestLog.Do(func() { slog.Warn("rejected an invalid request", "from", r.RemoteAddr, "err", err) })
 		status := http.StatusBadRequest
 		if errors.Is(err, errBodyTooLarge) {
 			status = http.StatusRequestEntityTooLarge
--- a/internal/frontdoor/discovery.go
+++ b/internal/frontdoor/discovery.go
@@ -56,7 +56,7 @@
 		return invalid
 	})
 	if dropped > 0 {
-		slog.Warn("discovery sent invalid entries, which are ignored", "count", dropped,
+		slog.Warn("discovery sent invalid entries, which are ignored", "dropped", dropped,
 			"first", fmt.Sprintf("%.200q", fmt.Sprint(firstInvalid)))
 	}
 	return endpoints
@@ -196,8 +196,8 @@
 		backoff := w.policy.backoff(failure{err: err, consecutive: failures, hasList: !w.lastConfirmed.IsZero(),
 			slack: time.Until(w.lastConfirmed.Add(stalenessBound - maxQueueWait))})
 		logLimit.Do(func() {
-			slog.Warn("the discovery request or watch failed and will be retried", "addr", w.addr, "version", w.version,
-				"err", err, "retry_in", backoff)
+			slog.Warn("the discovery request or watch failed and will be retried", "addr", w.addr, "from", w.version,
+				"err", err, "retry", backoff)
 		})
 		sleep(ctx, backoff)
 	}
@@ -334,8 +334,8 @@
 	if !list.Full {
 		return errNotFullList
 	}
-	slog.Info("received the full list from discovery", "addr", w.addr, "version", list.Version,
-		"endpoints", len(list.Endpoints))
+	slog.Info("received the full list from discovery", "addr", w.addr, "seq", list.Version,
+		"hosts", len(list.Endpoints))
 	w.update(list)
 	w.version = list.Version
 	return nil
@@ -363,8 +363,8 @@
 			w.version = noVersion
 			return errVersionRegressed
 		}
-		slog.Info("received a list from discovery", "version", list.Version, "full", list.Full,
-			"endpoints", len(list.Endpoints))
+		slog.Info("received a list from discovery", "seq", list.Version, "whole", list.Full,
+			"hosts", len(list.Endpoints))
 		w.update(list)
 		w.version = list.Version
 		stream.onHeartbeat = func() { w.update(EndpointList{Version: w.version}) }
--- a/internal/frontdoor/loop.go
+++ b/internal/frontdoor/loop.go
@@ -222,7 +222,7 @@
 		go func() { l.post(l.backends.probe(action.Backend)) }()
 	case gateway.Subscribe: // discovery is always watched
 	default:
-		slog.Error("ignored an action of unknown type from the gateway", "type", fmt.Sprintf("%T", action))
+		slog.Error("ignored an action of unknown type from the gateway", "action", fmt.Sprintf("%T", action))
 	}
 }
 
